--- a/choice/budget_test.go
+++ b/choice/budget_test.go
@@ -10,17 +10,17 @@
 // else it is refused at once. Sessions that leave the window take their part along, and a switch knows nothing before.
 func TestBudget(t *testing.T) {
 	r := fleet(9)
-	r.switchSettings(false, DialBudget{Free: 1, Share: 0.1, Window: 2 * sec})
+	r.switchSettings(false, RetryBudget{FreeRetries: 1, RetriesPerSession: 0.1, Window: 2 * sec})
 	r.now = sec
 	for id := range SessionID(50) { // held from before, not taken
-		if err := r.b.Hold(r.now, Arrival{ID: 1000 + id, Left: sec, Client: 99}, 1); err != nil {
+		if err := r.b.AdoptSession(r.now, Arrival{ID: 1000 + id, TimeLeft: sec, Client: 99}, 1); err != nil {
 			t.Fatal(err)
 		}
 	}
 	again := func(sessions Key) (dialed int) {
 		for k := range sessions {
 			s := r.arrive(0, k+1, 0, 0)
-			if r.settle(s, Full); s.dialing != 0 {
+			if r.settle(s, ServerFull); s.dialing != 0 {
 				dialed++
 			} else if s.answer != "refused" {
 				t.Fatalf("session %d has the answer %q", s.id, s.answer)
@@ -52,7 +52,7 @@
 
 // TestLastDial: from days with a slow store, where a dial was cut short for others that the budget then forbade.
 func TestLastDial(t *testing.T) {
-	for budget, want := range map[DialBudget]time.Duration{{}: 300 * ms, {Window: 2 * sec}: 1200 * ms, {Free: 1, Window: 2 * sec}: 300 * ms} {
+	for budget, want := range map[RetryBudget]time.Duration{{}: 300 * ms, {Window: 2 * sec}: 1200 * ms, {FreeRetries: 1, Window: 2 * sec}: 300 * ms} {
 		r := fleet(9)
 		r.switchSettings(false, budget)
 		r.now += 3 * sec
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,7 +1,7 @@
 // Package choice decides where sessions go: which server each dial tries, what is answered when none will
 // do, how the list of servers is followed, and when an open session is moved.
 // How it is called: New makes one Balancer for one proxy. Whoever owns the sockets calls its exported
-// methods, one at a time, each with the time since New; List comes first. The Balancer answers through the
+// methods, one at a time, each with the time since New; ApplyList comes first. The Balancer answers through the
 // Front in types.go, which also has the types of all that goes in. No clock, goroutine or map order.
 //
 // The ordinary path: best finds the ready server with the highest x * g(key, server). A round of load samples
@@ -50,8 +50,8 @@
 )
 
 const (
-	tokenRound Token = iota
-	tokenAsk         // and on: each timer to ask for the list voids the ones before
+	tokenRound TimerToken = iota
+	tokenAsk              // and on: each timer to ask for the list voids the ones before
 )
 
 type state int
@@ -140,10 +140,10 @@
 	front  Front
 	chance *rand.Rand
 	terms  []*terms // by listeners' ids
-	budget DialBudget
-	list   ListRules
-	cold   ColdRule
-	words  WordRule
+	budget RetryBudget
+	list   ListSettings
+	cold   ColdSettings
+	words  PeerReportSettings
 
 	now                            time.Duration
 	lists                          int
@@ -173,8 +173,8 @@
 	watching                       bool          // the list is subscribed to
 	arrivals, told                 int           // sessions that did not come back, words to other proxies
 	askFails                       int
-	asks                           Token   // timers to ask for the list, so far
-	lateOfHeard                    float64 // as of lateShareAt
+	asks                           TimerToken // timers to ask for the list, so far
+	lateOfHeard                    float64    // as of lateShareAt
 	lateShareAt                    time.Duration
 	longestWait                    time.Duration // dial timeout of the most patient listener
 	messageTarget                  time.Duration // the shortest
@@ -187,33 +187,33 @@
 }
 
 // New makes a balancer and starts following the list.
-func New(front Front, chance *rand.Rand, listeners []Listener, dials DialLimits, budget DialBudget,
-	list ListRules, cold ColdRule, words WordRule) *Balancer {
+func New(front Front, chance *rand.Rand, listeners []Listener, dials DialLimits, budget RetryBudget,
+	list ListSettings, cold ColdSettings, words PeerReportSettings) *Balancer {
 	b := &Balancer{front: front, chance: chance, byID: map[ServerID]*server{},
 		sessions: map[SessionID]*session{}, loadOf: map[Key]float64{}, groups: map[Key]int{},
 		meanFactor: 1, usualLoad: 1, limit: threshold(assumedLoad)}
 	b.take(listeners, dials, budget, list, cold, words)
-	b.front.Timer(roundSpan, tokenRound)
+	b.front.StartTimer(roundSpan, tokenRound)
 	b.ask()
 	return b
 }
 
-// Switch takes other settings. What was learnt stays, and each session keeps its terms; ids of listeners are
+// Reconfigure takes other settings. What was learnt stays, and each session keeps its terms; ids of listeners are
 // by the new settings from now on. Turns at cold servers are dealt anew, and nothing goes there for a window,
 // so that none meets turns by both rules.
-func (b *Balancer) Switch(now time.Duration, listeners []Listener, dials DialLimits, budget DialBudget,
-	list ListRules, cold ColdRule, words WordRule) {
+func (b *Balancer) Reconfigure(now time.Duration, listeners []Listener, dials DialLimits, budget RetryBudget,
+	list ListSettings, cold ColdSettings, words PeerReportSettings) {
 	b.now = now
 	if more := budget.Window - b.budget.Window; more > 0 { // what was dialed then is not known any more
 		b.furtherHeld = max(b.furtherHeld, now+more)
 	}
 	if cold != b.cold {
-		b.coldHeld = now + max(cold.Window, b.cold.Window)
+		b.coldHeld = now + max(cold.OverloadWindow, b.cold.OverloadWindow)
 		for _, srv := range b.servers {
 			srv.frame = 0
 		}
 	}
-	watched := b.list.MustWatch
+	watched := b.list.NeedsSubscription
 	b.take(listeners, dials, budget, list, cold, words)
 	b.listReady()
 	if !watched {
@@ -221,11 +221,11 @@
 	}
 }
 
-// Under is what sessions of a listener come under now.
-func (b *Balancer) Under(l ListenerID) Under { return Under{b.terms[l]} }
+// SessionSettings returns the present settings of a listener, to be kept with a session that arrives now.
+func (b *Balancer) SessionSettings(l ListenerID) SessionSettings { return SessionSettings{b.terms[l]} }
 
-func (b *Balancer) take(listeners []Listener, dials DialLimits, budget DialBudget, list ListRules,
-	cold ColdRule, words WordRule) {
+func (b *Balancer) take(listeners []Listener, dials DialLimits, budget RetryBudget, list ListSettings,
+	cold ColdSettings, words PeerReportSettings) {
 	was := b.terms
 	b.terms, b.budget, b.list, b.cold, b.words = nil, budget, list, cold, words
 	b.longestWait, b.messageTarget = 0, math.MaxInt64
@@ -483,11 +483,11 @@
 // warmth is the share of its work that a server can surely do: it never warms slower than evenly over the
 // span.
 func (b *Balancer) warmth(srv *server) float64 {
-	if !srv.Started || b.cold.Span <= 0 || b.now-srv.Since >= b.cold.Span {
+	if !srv.StartKnown || b.cold.RampDuration <= 0 || b.now-srv.StartedAt >= b.cold.RampDuration {
 		return 1
 	}
-	age := max(b.now-srv.Since, 0)
-	return b.cold.From + (1-b.cold.From)*float64(age)/float64(b.cold.Span)
+	age := max(b.now-srv.StartedAt, 0)
+	return b.cold.InitialShare + (1-b.cold.InitialShare)*float64(age)/float64(b.cold.RampDuration)
 }
 
 // overBudget guards against pushing a cold server over. All proxies together send it no more than a multiple
@@ -505,7 +505,7 @@
 
 // frameAt is the number of a cold server's frame.
 func (b *Balancer) frameAt(srv *server, at time.Duration) int {
-	return int(max(at-srv.Since, 0) / b.cold.Window)
+	return int(max(at-srv.StartedAt, 0) / b.cold.OverloadWindow)
 }
 
 // takeTurn works out a cold server's turn, once in each frame. What it could do warm is not told: it is sure
@@ -518,10 +518,10 @@
 		return
 	}
 	srv.frame, srv.sent, srv.turn, srv.lift = frame+1, 0, 0, 0
-	warmth := b.cold.From + (1-b.cold.From)*float64(frame)*b.cold.Window.Seconds()/b.cold.Span.Seconds()
-	all := b.cold.Multiple * b.cold.Window.Seconds() / b.cold.Span.Seconds() * warmth *
-		max(b.calm, 1/fullLoad/b.sizes) * srv.able * float64(b.cold.Proxies)
-	if all < float64(b.cold.Proxies) { // few of many proxies have a session to place in their turns
+	warmth := b.cold.InitialShare + (1-b.cold.InitialShare)*float64(frame)*b.cold.OverloadWindow.Seconds()/b.cold.RampDuration.Seconds()
+	all := b.cold.OverloadMultiple * b.cold.OverloadWindow.Seconds() / b.cold.RampDuration.Seconds() * warmth *
+		max(b.calm, 1/fullLoad/b.sizes) * srv.able * float64(b.cold.ProxyCount)
+	if all < float64(b.cold.ProxyCount) { // few of many proxies have a session to place in their turns
 		all *= fullLoad / assumedLoad
 	}
 	each := b.usualWeight(b.terms[(frame/2)%len(b.terms)])
@@ -536,10 +536,10 @@
 	}
 	turns = (turns + 1 - frame%2) / 2
 	_, at := math.Modf(draw(0, srv.ID) + float64(frame)*(math.Phi-1))
-	place := (b.cold.Me + int(at*float64(b.cold.Proxies))) % b.cold.Proxies
+	place := (b.cold.ProxyIndex + int(at*float64(b.cold.ProxyCount))) % b.cold.ProxyCount
 	if turns > place {
-		srv.turn = each * float64((turns-place+b.cold.Proxies-1)/b.cold.Proxies)
-		srv.lift = min(b.part(srv)*warmth*float64(b.cold.Proxies)/float64(turns), 1)
+		srv.turn = each * float64((turns-place+b.cold.ProxyCount-1)/b.cold.ProxyCount)
+		srv.lift = min(b.part(srv)*warmth*float64(b.cold.ProxyCount)/float64(turns), 1)
 	}
 }
 
@@ -586,15 +586,16 @@
 // The list of servers.
 
 func (b *Balancer) ask() {
-	if !b.list.MustWatch {
+	if !b.list.NeedsSubscription {
 		return
 	}
-	b.front.Watch()
-	b.askIn(b.list.MustAskIn / 2) // guards against a call that is never answered
+	b.front.SubscribeList()
+	b.askIn(b.list.MaxPollInterval / 2) // guards against a call that is never answered
 }
 
-// Afresh asks for the list at another place: failures at the one before, and their pause, are of no account.
-func (b *Balancer) Afresh(now time.Duration) {
+// ResubscribeList subscribes to the list at once, as discovery has moved or a call was given up: earlier failures and their
+// backoff no longer count.
+func (b *Balancer) ResubscribeList(now time.Duration) {
 	b.now, b.askFails, b.watching = now, 0, false
 	b.ask()
 }
@@ -603,17 +604,17 @@
 // did, each failed call would leave two behind, and calls would double until discovery takes none.
 func (b *Balancer) askIn(after time.Duration) {
 	b.asks++
-	b.front.Timer(after, tokenAsk+b.asks)
+	b.front.StartTimer(after, tokenAsk+b.asks)
 }
 
-// List takes what discovery tells.
-func (b *Balancer) List(now time.Duration, kind ListKind, entries []Entry) {
+// ApplyList applies a list of servers, or a failed subscription, from discovery.
+func (b *Balancer) ApplyList(now time.Duration, kind ListKind, entries []Entry) {
 	b.now = now
 	if kind == ListFailed {
 		b.watching = false
 		b.askFails++
 		b.say(&b.saidListAt, "list: the subscription failed, %d times in a row", b.askFails)
-		span := cmp.Or(b.list.AskAgainIn, b.list.MustAskIn/4) / 8 << min(b.askFails, 3)
+		span := cmp.Or(b.list.MaxRetryBackoff, b.list.MaxPollInterval/4) / 8 << min(b.askFails, 3)
 		b.askIn(span + time.Duration(b.chance.Int63n(int64(span)+1)))
 		return
 	}
@@ -626,7 +627,7 @@
 	}
 	for _, srv := range b.servers {
 		if kind != ListDelta && srv.listed != b.lists {
-			srv.Standing = Gone
+			srv.Status = Gone
 		}
 	}
 	b.listReady()
@@ -654,25 +655,25 @@
 			return cmp.Compare(s.ID, id)
 		})
 		b.servers = slices.Insert(b.servers, at, srv)
-	} else if e.Standing == Ready && (srv.Standing == Gone && !b.list.DrainsBindAlone ||
-		e.Started && (!srv.Started || e.Since > srv.Since)) { // restarted
+	} else if e.Status == Ready && (srv.Status == Gone && !b.list.OnlyDrainsExclude ||
+		e.StartKnown && (!srv.StartKnown || e.StartedAt > srv.StartedAt)) { // restarted
 		srv.factor = b.meanFactor
 		srv.sampled, srv.missed, srv.errors, srv.avoidUntil = 0, 0, 0, 0
 		srv.frame, srv.full, srv.lateAt, srv.delayAt, srv.awayUntil = 0, 0, 0, 0, 0
 	}
 	switch {
-	case e.Standing == Draining:
+	case e.Status == Draining:
 		srv.drained, srv.drainOf = true, time.Duration(math.MinInt64) // a start long ago
-		if e.Started {
-			srv.drainOf = e.Since
+		if e.StartKnown {
+			srv.drainOf = e.StartedAt
 		}
-	case srv.drained && e.Started && e.Since > srv.drainOf:
+	case srv.drained && e.StartKnown && e.StartedAt > srv.drainOf:
 		srv.drained = false
-	case srv.drained && e.Standing == Ready: // an older list may come again
-		e.Standing = Draining
+	case srv.drained && e.Status == Ready: // an older list may come again
+		e.Status = Draining
 	}
-	if srv.Started && e.Since < srv.Since {
-		e.Started, e.Since = true, srv.Since // the same
+	if srv.StartKnown && e.StartedAt < srv.StartedAt {
+		e.StartKnown, e.StartedAt = true, srv.StartedAt // the same
 	}
 	srv.Entry, srv.listed = e, b.lists
 	srv.Size = cmp.Or(max(e.Size, 0), 1) // 0 if not told
@@ -687,12 +688,12 @@
 // usable tells whether the list lets a server be dialed. Where drains alone bind, a list that calls servers
 // gone proves nothing: one that was named stays in, and what dials to it show counts.
 func (b *Balancer) usable(srv *server) bool {
-	return srv.Standing == Ready || b.list.DrainsBindAlone && srv.Standing == Gone && !srv.drained
+	return srv.Status == Ready || b.list.OnlyDrainsExclude && srv.Status == Gone && !srv.drained
 }
 
 // say logs a line, the same subject no more than once in the span of a cold start.
 func (b *Balancer) say(last *time.Duration, format string, args ...any) {
-	if *last == 0 || b.now-*last >= b.cold.Span {
+	if *last == 0 || b.now-*last >= b.cold.RampDuration {
 		*last = b.now + 1
 		b.front.Log(fmt.Sprintf(format, args...))
 	}
@@ -753,8 +754,8 @@
 	return nil
 }
 
-// Arrive takes a session that is owed an answer.
-func (b *Balancer) Arrive(now time.Duration, a Arrival) error {
+// PlaceSession takes a new session and dials a server for it, or gives its final answer. The error is a fault of the caller.
+func (b *Balancer) PlaceSession(now time.Duration, a Arrival) error {
 	s, err := b.admit(now, a)
 	if err != nil {
 		return err
@@ -766,8 +767,9 @@
 	return nil
 }
 
-// Hold takes a session that a server holds already.
-func (b *Balancer) Hold(now time.Duration, a Arrival, at ServerID) error {
+// AdoptSession takes a session that is already open at a server, such as one that another proxy opened. The error is a fault
+// of the caller.
+func (b *Balancer) AdoptSession(now time.Duration, a Arrival, at ServerID) error {
 	srv := b.byID[at]
 	if srv == nil {
 		return fmt.Errorf("session %d is held by server %d, which no list has named", a.ID, at)
@@ -783,7 +785,7 @@
 
 func (b *Balancer) admit(now time.Duration, a Arrival) (*session, error) {
 	b.now = now
-	under := a.Under.terms
+	under := a.Settings.terms
 	if under == nil {
 		if int(a.Listener) >= len(b.terms) {
 			return nil, fmt.Errorf("session %d names listener %d of %d", a.ID, a.Listener, len(b.terms))
@@ -796,10 +798,10 @@
 	if a.Load == 0 {
 		a.Load = b.loadOf[a.Client]
 	}
-	if !a.Returned {
+	if !a.Reconnected {
 		b.arrivals++
 	}
-	s := &session{Arrival: a, terms: under, deadline: now + a.Left}
+	s := &session{Arrival: a, terms: under, deadline: now + a.TimeLeft}
 	s.mark = cmp.Or(a.Group, a.Client, Key(a.ID))
 	if a.Group != 0 {
 		s.mark = b.partOf(a.Group, cmp.Or(a.Client, Key(a.ID)))
@@ -813,7 +815,7 @@
 // its one server however much it is, and few hear that the server is late. The first part is the group's own,
 // the other has an order of servers of its own. Harm: each server that holds any of a group pays for it.
 func (b *Balancer) partOf(group, client Key) Key {
-	if b.cold.Proxies < someProxies*len(b.ready) || (len(b.sessions)+2)*heardOf > len(b.ready) {
+	if b.cold.ProxyCount < someProxies*len(b.ready) || (len(b.sessions)+2)*heardOf > len(b.ready) {
 		return group
 	}
 	if part := int(unit(mix(uint64(client)), mix(uint64(group))) * parts); part > 0 {
@@ -825,7 +827,7 @@
 // place dials the best server for a session, or gives the session up.
 func (b *Balancer) place(s *session) {
 	wait := s.deadline - b.now
-	if s.dials >= s.MostDials || wait < s.HandshakeTarget/16 || !b.mayRerun(s) || b.spare(s) ||
+	if s.dials >= s.MaxDials || wait < s.HandshakeTarget/16 || !b.mayRerun(s) || b.spare(s) ||
 		s.dials > 0 && !b.affords() {
 		b.giveUp(s)
 		return
@@ -849,8 +851,8 @@
 		b.giveUp(s)
 		return
 	}
-	if s.Effect == Repeatable && b.affords() { // one that no other can follow gets all the time
-		wait = max(wait/time.Duration(s.MostDials-s.dials), min(wait, s.HandshakeTarget/2))
+	if s.Idempotency == Idempotent && b.affords() { // one that no other can follow gets all the time
+		wait = max(wait/time.Duration(s.MaxDials-s.dials), min(wait, s.HandshakeTarget/2))
 	}
 	if b.warmth(srv) < 1 {
 		srv.sent += b.weight(s)
@@ -874,7 +876,7 @@
 		switch srv := c.server; {
 		case b.overBudget(s, srv):
 		case b.isFull(srv) || !b.fits(s, srv):
-		case s.Returned && s.state != open && len(srv.held) == 0 && b.chance.Float64() < b.lateShare():
+		case s.Reconnected && s.state != open && len(srv.held) == 0 && b.chance.Float64() < b.lateShare():
 		case b.loaded(srv, s.Load) <= b.limit:
 			return srv
 		case able == nil || s.Load > 0 && b.loaded(srv, s.Load) < b.loaded(able, s.Load):
@@ -913,8 +915,8 @@
 
 // allowed holds the rules that no exception may break.
 func (b *Balancer) allowed(s *session, srv *server) bool {
-	return !s.mayRun || s.Effect != Referenced || (s.terms.Group != GroupZone || srv.Zone == s.first.Zone) &&
-		(s.terms.Group != GroupCell || srv.Cell == s.first.Cell)
+	return !s.mayRun || s.Idempotency != IdempotencyKeyed || (s.terms.DedupScope != DedupZone || srv.Zone == s.first.Zone) &&
+		(s.terms.DedupScope != DedupCell || srv.Cell == s.first.Cell)
 }
 
 func (b *Balancer) untried(s *session, srv *server) bool {
@@ -974,7 +976,7 @@
 	if window == 0 {
 		return true
 	}
-	most := b.budget.Free + b.budget.Share*float64(b.taken.since(b.now-window+edge))
+	most := b.budget.FreeRetries + b.budget.RetriesPerSession*float64(b.taken.since(b.now-window+edge))
 	return b.now >= b.furtherHeld && float64(b.further.since(b.now-window-edge)+1) <= most
 }
 
@@ -1005,24 +1007,24 @@
 
 // mayRerun tells whether another dial may go out after those that may have run.
 func (b *Balancer) mayRerun(s *session) bool {
-	return !s.mayRun || s.Effect == Repeatable || s.Effect == Referenced && b.now-s.firstAt < s.RepeatWindow
+	return !s.mayRun || s.Idempotency == Idempotent || s.Idempotency == IdempotencyKeyed && b.now-s.firstAt < s.DedupWindow
 }
 
 // giveUp answers at once what no server will take.
 func (b *Balancer) giveUp(s *session) {
 	b.enter(s, over, nil)
-	if s.mayRun && (s.Effect == OnceOnly || s.Effect == Referenced && s.terms.Group != GroupAll) {
-		b.front.TearDown(s.ID)
+	if s.mayRun && (s.Idempotency == NonIdempotent || s.Idempotency == IdempotencyKeyed && s.terms.DedupScope != DedupAll) {
+		b.front.Abort(s.ID)
 		return
 	}
 	comeBack := time.Duration(float64(s.HandshakeTarget) * (1 + b.chance.Float64()))
-	b.front.Refuse(s.ID, min(comeBack, s.MaxComeBack))
+	b.front.Refuse(s.ID, min(comeBack, s.MaxRetryAfter))
 }
 
-// Goes tells whether the line of the dial that is out may go, now that its connection stands. It guards
+// MaySend reports whether the first line of the session's dial may be sent, now that its connection is established. It guards
 // against connections that take long: what the dial was placed by may have passed meanwhile, the window for
 // repeats or this proxy's turn at a cold server, and the budget's window has to count it from now on.
-func (b *Balancer) Goes(now time.Duration, id SessionID) bool {
+func (b *Balancer) MaySend(now time.Duration, id SessionID) bool {
 	b.now = now
 	s := b.sessions[id]
 	if s == nil || s.state != dialing {
@@ -1044,8 +1046,8 @@
 	return true
 }
 
-// Opened tells that a dial's session stands.
-func (b *Balancer) Opened(now time.Duration, id SessionID, _ ServerID, no DialNo, _ time.Duration) {
+// HandleOpened records that a dial's server has accepted the session.
+func (b *Balancer) HandleOpened(now time.Duration, id SessionID, _ ServerID, no DialNumber, _ time.Duration) {
 	b.now = now
 	s := b.sessions[id]
 	if s == nil || s.state != dialing || int(no) != s.dials-1 {
@@ -1057,8 +1059,9 @@
 	b.enter(s, open, s.server)
 }
 
-// Settled tells how a dial ended.
-func (b *Balancer) Settled(now time.Duration, id SessionID, no DialNo, at ServerID, outcome Outcome,
+// HandleDialEnd records how a dial ended. With isOver, or after the session was opened, the session ends too; otherwise the
+// next dial goes out or the session gets its final answer.
+func (b *Balancer) HandleDialEnd(now time.Duration, id SessionID, no DialNumber, at ServerID, outcome Outcome,
 	_ time.Duration, isOver bool) {
 	b.now = now
 	srv := b.byID[at]
@@ -1067,7 +1070,7 @@
 		return
 	}
 	was := s.state
-	if outcome == Broken {
+	if outcome == ConnectionLost {
 		b.dropped(srv)
 	}
 	if isOver || was != dialing {
@@ -1081,13 +1084,13 @@
 		s.mayRun, s.first, s.firstAt = true, srv, s.dialedAt
 	}
 	b.enter(s, arrived, nil)
-	if outcome == Unanswered || outcome == Failed {
+	if outcome == TimedOut || outcome == Failed {
 		b.failed++
 	}
 	if outcome == Failed && len(srv.held) == 0 {
 		srv.errors++
 	}
-	if outcome == Unanswered || outcome == Unreachable ||
+	if outcome == TimedOut || outcome == Unreachable ||
 		outcome == Failed && srv.errors > 1 { // one that only answers errors may be none
 		srv.missed++
 		srv.avoidUntil = now + b.longestWait*time.Duration(min(srv.missed, 4))
@@ -1098,17 +1101,17 @@
 	b.place(s)
 }
 
-// SentAway tells that a server has sent a session away by itself: it drains, though the list may say so much
+// HandleDrainNotice records that a server has moved a session away by itself: it drains, though the list may say so much
 // later where discovery has more calls than it can take. It gets nothing new until the list must have come.
-func (b *Balancer) SentAway(now time.Duration, at ServerID) {
+func (b *Balancer) HandleDrainNotice(now time.Duration, at ServerID) {
 	b.now = now
 	if srv := b.byID[at]; srv != nil {
-		srv.awayUntil = now + b.list.MustAskIn
+		srv.awayUntil = now + b.list.MaxPollInterval
 	}
 }
 
-// Left tells that a client has gone, or that its answer is overdue.
-func (b *Balancer) Left(now time.Duration, id SessionID) {
+// HandleClientGone records that a session's client has gone, or that its answer is overdue.
+func (b *Balancer) HandleClientGone(now time.Duration, id SessionID) {
 	b.now = now
 	if s := b.sessions[id]; s != nil && (s.state == dialing || s.state == open) {
 		if s.state == open {
@@ -1120,8 +1123,8 @@
 
 // What is seen of load.
 
-// LoadNoted tells a held session's load in cores.
-func (b *Balancer) LoadNoted(now time.Duration, id SessionID, _ DialNo, load float64) {
+// RecordSessionLoad records an open session's load, in cores.
+func (b *Balancer) RecordSessionLoad(now time.Duration, id SessionID, _ DialNumber, load float64) {
 	b.now = now
 	if s := b.sessions[id]; s != nil {
 		s.Load = load
@@ -1143,8 +1146,8 @@
 	}
 }
 
-// DelayNoted tells how long a message takes at a server.
-func (b *Balancer) DelayNoted(now time.Duration, at ServerID, delay time.Duration) {
+// RecordServerDelay records how long a server takes to answer a message.
+func (b *Balancer) RecordServerDelay(now time.Duration, at ServerID, delay time.Duration) {
 	b.now = now
 	if srv := b.byID[at]; srv != nil {
 		was, span := b.messageTarget/3, noteSpan
@@ -1163,17 +1166,18 @@
 // tell lets about one of the proxies that hear of a late server tell the others, where words are allowed and
 // cost no more than a small share of what this proxy's sessions are worth.
 func (b *Balancer) tell(srv *server) {
-	others := float64(b.cold.Proxies - 1)
-	hearing := b.part(srv) * float64(len(b.sessions)*b.cold.Proxies)
-	affords := float64(b.told+1)*others*b.words.Price <= wordShare*float64(b.arrivals)
-	if b.words.Allowed && affords && b.chance.Float64()*hearing < 1 {
+	others := float64(b.cold.ProxyCount - 1)
+	hearing := b.part(srv) * float64(len(b.sessions)*b.cold.ProxyCount)
+	affords := float64(b.told+1)*others*b.words.CostPerMessage <= wordShare*float64(b.arrivals)
+	if b.words.Enabled && affords && b.chance.Float64()*hearing < 1 {
 		b.told++
-		b.front.Tell(srv.ID, srv.delay)
+		b.front.PublishOverload(srv.ID, srv.delay)
 	}
 }
 
-// Told takes another proxy's word of a late server: a proxy with no session there has heard nothing since.
-func (b *Balancer) Told(now time.Duration, at ServerID, delay time.Duration) {
+// ReceiveOverload takes another proxy's overload report. It counts only if this proxy has no session at the server, and so
+// no reports of its own.
+func (b *Balancer) ReceiveOverload(now time.Duration, at ServerID, delay time.Duration) {
 	b.now = now
 	srv := b.byID[at]
 	if srv == nil || !b.usable(srv) {
@@ -1185,8 +1189,8 @@
 	}
 }
 
-// Tick tells that the time asked for with Timer has come.
-func (b *Balancer) Tick(now time.Duration, token Token) {
+// HandleTimer is called when a timer started with Front.StartTimer fires.
+func (b *Balancer) HandleTimer(now time.Duration, token TimerToken) {
 	b.now = now
 	switch token {
 	case tokenAsk + b.asks:
@@ -1194,7 +1198,7 @@
 			b.ask()
 		}
 	case tokenRound:
-		b.front.Timer(roundSpan, tokenRound)
+		b.front.StartTimer(roundSpan, tokenRound)
 		b.round()
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -9,20 +9,20 @@
 var (
 	someListeners = []Listener{
 		{Name: "a", HandshakeTarget: 300 * ms, DialTimeout: 1200 * ms, MessageTarget: 100 * ms, Utility: 3},
-		{HandshakeTarget: 500 * ms, DialTimeout: 2 * sec, Effect: OnceOnly, Utility: 1},
-		{HandshakeTarget: 300 * ms, DialTimeout: 1800 * ms, Effect: Referenced,
-			RepeatWindow: 800 * ms, Utility: 1},
-		{HandshakeTarget: 300 * ms, DialTimeout: 1800 * ms, Effect: Referenced, Group: GroupZone,
-			RepeatWindow: 900 * ms, Utility: 1},
-		{HandshakeTarget: 300 * ms, DialTimeout: 1800 * ms, Effect: Referenced, Group: GroupCell,
-			RepeatWindow: 900 * ms, Utility: 1},
+		{HandshakeTarget: 500 * ms, DialTimeout: 2 * sec, Idempotency: NonIdempotent, Utility: 1},
+		{HandshakeTarget: 300 * ms, DialTimeout: 1800 * ms, Idempotency: IdempotencyKeyed,
+			DedupWindow: 800 * ms, Utility: 1},
+		{HandshakeTarget: 300 * ms, DialTimeout: 1800 * ms, Idempotency: IdempotencyKeyed, DedupScope: DedupZone,
+			DedupWindow: 900 * ms, Utility: 1},
+		{HandshakeTarget: 300 * ms, DialTimeout: 1800 * ms, Idempotency: IdempotencyKeyed, DedupScope: DedupCell,
+			DedupWindow: 900 * ms, Utility: 1},
 	}
-	someCold       = ColdRule{Span: 20 * sec, From: 0.15, Multiple: 3, Window: 3 * sec, Proxies: 3}
+	someCold       = ColdSettings{RampDuration: 20 * sec, InitialShare: 0.15, OverloadMultiple: 3, OverloadWindow: 3 * sec, ProxyCount: 3}
 	otherListeners = []Listener{
-		{Name: "e", HandshakeTarget: 400 * ms, DialTimeout: 1500 * ms, Effect: OnceOnly, Utility: 2},
+		{Name: "e", HandshakeTarget: 400 * ms, DialTimeout: 1500 * ms, Idempotency: NonIdempotent, Utility: 2},
 		{Name: "a", HandshakeTarget: 200 * ms, DialTimeout: 900 * ms, MessageTarget: 250 * ms, Utility: 1},
 	}
-	otherCold = ColdRule{Span: 9 * sec, From: 0.3, Multiple: 2.5, Window: 1500 * ms, Proxies: 40, Me: 7}
+	otherCold = ColdSettings{RampDuration: 9 * sec, InitialShare: 0.3, OverloadMultiple: 2.5, OverloadWindow: 1500 * ms, ProxyCount: 40, ProxyIndex: 7}
 )
 
 // TestRules drives the module through lists, restarts, outcomes, departures, load and delay reports, messages of other
@@ -55,10 +55,10 @@
 		dials    int
 		answer   string
 	}{
-		{0, Failed, 4, refused}, {0, Unreachable, 4, refused}, {0, Unanswered, 4, refused},
-		{1, Failed, 1, tornDown}, {1, Broken, 1, tornDown}, {1, Unanswered, 1, tornDown},
-		{1, Full, 4, refused},
-		{2, Failed, 4, refused}, {3, Failed, 2, tornDown}, {3, Full, 4, refused}, {4, Cancelled, 2, tornDown},
+		{0, Failed, 4, refused}, {0, Unreachable, 4, refused}, {0, TimedOut, 4, refused},
+		{1, Failed, 1, tornDown}, {1, ConnectionLost, 1, tornDown}, {1, TimedOut, 1, tornDown},
+		{1, ServerFull, 4, refused},
+		{2, Failed, 4, refused}, {3, Failed, 2, tornDown}, {3, ServerFull, 4, refused}, {4, Cancelled, 2, tornDown},
 		{1, Accepted, 1, none},
 	} {
 		r := fleet(6)
@@ -79,7 +79,7 @@
 	r := fleet(5)
 	top := r.topServer(77)
 	top.full, top.carried, top.missed, top.avoidUntil = 1, 2, 1, sec
-	r.b.Arrive(0, Arrival{ID: 900, Left: sec, Client: 77, MidFlow: true})
+	r.b.PlaceSession(0, Arrival{ID: 900, TimeLeft: sec, Client: 77, MidFlow: true})
 	if r.sessions[900] != nil || len(r.dialsTo[top.ID]) != 1 {
 		t.Error("the mid-flow session was not sent to its holder")
 	}
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -12,7 +12,7 @@
 func TestRamp(t *testing.T) {
 	const n, keys = 150, 400000
 	r := fleet(n)
-	r.publish(ListDelta, []Entry{{ID: 500, Size: 4, Standing: Ready, Started: true, Since: -2 * sec}})
+	r.publish(ListDelta, []Entry{{ID: 500, Size: 4, Status: Ready, StartKnown: true, StartedAt: -2 * sec}})
 	count := 0.0
 	for k := range Key(keys) {
 		if r.topServer(k).ID == 500 {
@@ -22,7 +22,7 @@
 	if got, want := count/keys/(4/r.b.sizes), 0.15+0.85*0.1; math.Abs(got-want) > want/4 {
 		t.Errorf("the cold server gets %.3f of its share, want about %.3f", got, want)
 	}
-	r.b.now += someCold.Span
+	r.b.now += someCold.RampDuration
 	r.b.round()
 	if srv := r.b.byID[500]; srv.x != srv.base*srv.factor {
 		t.Error("the server is still ramping after its span")
@@ -31,8 +31,8 @@
 
 // TestNoColdRule: without a cold rule, a server whose start is told as yet to come, by a clock ahead, is as others.
 func TestNoColdRule(t *testing.T) {
-	r := newRig(ColdRule{Proxies: 3}, rand.New(rand.NewSource(1)))
-	r.publish(ListFull, []Entry{{ID: 1, Size: 1, Standing: Ready, Started: true, Since: sec}})
+	r := newRig(ColdSettings{ProxyCount: 3}, rand.New(rand.NewSource(1)))
+	r.publish(ListFull, []Entry{{ID: 1, Size: 1, Status: Ready, StartKnown: true, StartedAt: sec}})
 	if s := r.arrive(0, 1, 1, 0); s.dialing != 1 {
 		t.Errorf("dialed %d", s.dialing)
 	}
@@ -46,7 +46,7 @@
 	const proxies, perProxy, servers, small, large, start = 300, 4, 40, 41, 42, 50 * sec
 	listeners, loads := [perProxy]ListenerID{1, 0, 0, 0}, []float64{1, 4}
 	rule, windows := someCold, 0
-	rule.Proxies = proxies
+	rule.ProxyCount = proxies
 	for _, c := range []struct {
 		name  string
 		keys  int64 // 1: one hot group
@@ -63,22 +63,22 @@
 			rng := rand.New(rand.NewSource(seed))
 			list := make([]Entry, servers, servers+2)
 			for id := range list {
-				list[id] = Entry{ID: ServerID(id + 1), Size: 1, Standing: Ready}
+				list[id] = Entry{ID: ServerID(id + 1), Size: 1, Status: Ready}
 			}
 			rigs := make([]*rig, proxies)
 			for i := range rigs {
-				rule.Me = i
+				rule.ProxyIndex = i
 				r := newRig(rule, rand.New(rand.NewSource(seed<<16+int64(i))))
 				r.now = start
 				r.publish(ListFull, list)
 				for k := range perProxy { // one in four asks for four times as much
 					s := r.arrive(listeners[k], Key(rng.Int63()), 0, 0)
 					r.settle(s, Accepted)
-					r.b.LoadNoted(start, s.id, 0, loads[listeners[k]])
+					r.b.RecordSessionLoad(start, s.id, 0, loads[listeners[k]])
 				}
 				r.b.round()
-				r.publish(ListDelta, []Entry{{ID: small, Size: 0.5, Standing: Ready, Started: true, Since: start},
-					{ID: large, Size: 8, Standing: Ready, Started: true, Since: start}})
+				r.publish(ListDelta, []Entry{{ID: small, Size: 0.5, Status: Ready, StartKnown: true, StartedAt: start},
+					{ID: large, Size: 8, Status: Ready, StartKnown: true, StartedAt: start}})
 				rigs[i] = r
 			}
 			type sent struct {
@@ -86,7 +86,7 @@
 				load float64
 			}
 			dialsTo := map[ServerID][]sent{}
-			for step := range int(rule.Span / (100 * ms)) {
+			for step := range int(rule.RampDuration / (100 * ms)) {
 				now := start + time.Duration(step)*100*ms
 				for _, r := range rigs {
 					r.now, r.b.now = now, now
@@ -103,16 +103,16 @@
 							if s.dialing >= small {
 								dialsTo[s.dialing] = append(dialsTo[s.dialing], sent{now, loads[listener]})
 							}
-							r.settle(s, Full)
+							r.settle(s, ServerFull)
 						}
 					}
 				}
 				for id, size := range map[ServerID]float64{small: 0.5, large: 8} {
 					capacity := proxies * (loads[0]*3 + loads[1]) / servers * size / assumedLoad
-					budget := rule.Multiple * rigs[0].b.warmth(rigs[0].b.byID[id]) * capacity * rule.Window.Seconds() / rule.Span.Seconds()
+					budget := rule.OverloadMultiple * rigs[0].b.warmth(rigs[0].b.byID[id]) * capacity * rule.OverloadWindow.Seconds() / rule.RampDuration.Seconds()
 					load := 0.0
 					for _, s := range dialsTo[id] {
-						if s.at > now-rule.Window {
+						if s.at > now-rule.OverloadWindow {
 							load += s.load
 						}
 					}
@@ -137,30 +137,30 @@
 // budget has.
 func TestGoes(t *testing.T) {
 	rule, firstLines := someCold, 0
-	rule.Proxies = 6
-	budget := DialBudget{Free: 2, Share: 0.05, Window: 2 * sec}
+	rule.ProxyCount = 6
+	budget := RetryBudget{FreeRetries: 2, RetriesPerSession: 0.05, Window: 2 * sec}
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
-		rule.Me = rng.Intn(rule.Proxies)
+		rule.ProxyIndex = rng.Intn(rule.ProxyCount)
 		r := newRig(rule, rng)
 		r.cold = rule
 		r.list(ListFull, 9)
 		r.fill(60)
 		r.b.round()
-		r.b.Switch(0, r.listeners, r.dials, budget, ListRules{MustWatch: true, MustAskIn: 10 * sec}, rule, WordRule{})
+		r.b.Reconfigure(0, r.listeners, r.dials, budget, ListSettings{NeedsSubscription: true, MaxPollInterval: 10 * sec}, rule, PeerReportSettings{})
 		r.now = 4 * sec
-		cold := Entry{ID: 10, Size: 8, Standing: Ready, Started: true, Since: r.now}
+		cold := Entry{ID: 10, Size: 8, Status: Ready, StartKnown: true, StartedAt: r.now}
 		r.publish(ListDelta, []Entry{cold})
 		var dialing []*clientSession
 		connectedAt := map[SessionID]time.Duration{}
 		furtherDials, arrivals := []time.Duration{}, []time.Duration{}
 		interval, sent := 0, 0.0
-		for r.now < cold.Since+rule.Span {
+		for r.now < cold.StartedAt+rule.RampDuration {
 			r.now += 10 * ms
 			if rng.Intn(3) == 0 {
 				arrivals = append(arrivals, r.now)
 				if s := r.arrive(0, Key(rng.Int63()), 0, 0); s.dialing != 0 {
-					dialing, connectedAt[s.id] = append(dialing, s), r.now+time.Duration(rng.Int63n(int64(rule.Window/3)))
+					dialing, connectedAt[s.id] = append(dialing, s), r.now+time.Duration(rng.Int63n(int64(rule.OverloadWindow/3)))
 				}
 			}
 			pending := dialing
@@ -170,17 +170,17 @@
 					dialing = append(dialing, s)
 					continue
 				}
-				allowed, at := r.b.Goes(r.now, s.id), r.b.byID[s.dialing]
+				allowed, at := r.b.MaySend(r.now, s.id), r.b.byID[s.dialing]
 				if allowed && s.dials > 1 {
 					furtherDials = append(furtherDials, r.now)
-					n, limit := inWindow(furtherDials, r.now-budget.Window), budget.Free+budget.Share*float64(inWindow(arrivals, r.now-budget.Window*5/4))
+					n, limit := inWindow(furtherDials, r.now-budget.Window), budget.FreeRetries+budget.RetriesPerSession*float64(inWindow(arrivals, r.now-budget.Window*5/4))
 					if float64(n) > limit {
 						t.Fatalf("seed %d: %d further dials within a window of %.1f", seed, n, limit)
 					}
 				}
 				if allowed && at.ID == cold.ID {
 					firstLines++
-					if now := int((r.now - cold.Since) / rule.Window); now != interval {
+					if now := int((r.now - cold.StartedAt) / rule.OverloadWindow); now != interval {
 						interval, sent = now, 0
 					}
 					r.b.takeTurn(at)
@@ -188,8 +188,8 @@
 						t.Fatalf("seed %d: %v goes out in frame %d, whose turn is %v", seed, sent, interval, at.turn)
 					}
 				}
-				if r.settle(s, map[bool]Outcome{true: Full, false: NotSent}[allowed]); s.dialing != 0 {
-					dialing, connectedAt[s.id] = append(dialing, s), r.now+time.Duration(rng.Int63n(int64(rule.Window/3)))
+				if r.settle(s, map[bool]Outcome{true: ServerFull, false: NotSent}[allowed]); s.dialing != 0 {
+					dialing, connectedAt[s.id] = append(dialing, s), r.now+time.Duration(rng.Int63n(int64(rule.OverloadWindow/3)))
 				}
 			}
 		}
--- a/choice/cold_throng_test.go
+++ b/choice/cold_throng_test.go
@@ -38,16 +38,16 @@
 		sizes := map[ServerID]float64{fresh: 0.5, large: 4, back: 1}
 		list := make([]Entry, servers)
 		for i := range list {
-			list[i] = Entry{ID: ServerID(i + 1), Size: 1, Standing: Ready}
+			list[i] = Entry{ID: ServerID(i + 1), Size: 1, Status: Ready}
 		}
 		cold := func(id ServerID) Entry {
-			return Entry{ID: id, Size: sizes[id], Standing: Ready, Started: true, Since: start}
+			return Entry{ID: id, Size: sizes[id], Status: Ready, StartKnown: true, StartedAt: start}
 		}
 		rule := someCold
-		rule.Proxies = processes
+		rule.ProxyCount = processes
 		rigs, held := make([]*rig, processes), 0.0
 		for me := range rigs {
-			rule.Me = me
+			rule.ProxyIndex = me
 			r := newRig(rule, rand.New(rand.NewSource(seed<<16+int64(me))))
 			r.now = start
 			r.publish(ListFull, list)
@@ -55,7 +55,7 @@
 				kind := chance.Intn(len(listeners))
 				s := r.arrive(listeners[kind], Key(chance.Int63()), 0, 0)
 				r.settle(s, Accepted)
-				r.b.LoadNoted(start, s.id, 0, loads[kind])
+				r.b.RecordSessionLoad(start, s.id, 0, loads[kind])
 				held += loads[kind]
 			}
 			r.b.round()
@@ -64,12 +64,12 @@
 		}
 		mean := held / float64(processes*perNode)
 		sends := map[ServerID][]coldSend{}
-		for step := range int(rule.Span / tick) {
+		for step := range int(rule.RampDuration / tick) {
 			now := start + time.Duration(step)*tick
 			if restarts && step > 0 && step%30 == 0 {
 				for me := range rigs {
 					if chance.Intn(10) < killed {
-						rule.Me = me
+						rule.ProxyIndex = me
 						rigs[me] = newRig(rule, rand.New(rand.NewSource(seed<<16+int64(step*processes+me))))
 						rigs[me].now, rigs[me].b.now = now, now
 						rigs[me].publish(ListFull, append(slices.Clone(list[1:]), cold(fresh), cold(large), cold(back)))
@@ -89,16 +89,16 @@
 						if _, is := sizes[s.dialing]; is {
 							sends[s.dialing] = append(sends[s.dialing], coldSend{now, loads[kind]})
 						}
-						r.settle(s, Full)
+						r.settle(s, ServerFull)
 					}
 				}
 			}
 			for id, size := range sizes {
 				able := held / float64(servers) * size / assumedLoad
-				allowed := rule.Multiple * rigs[0].b.warmth(rigs[0].b.byID[id]) * able * rule.Window.Seconds() / rule.Span.Seconds() / mean
+				allowed := rule.OverloadMultiple * rigs[0].b.warmth(rigs[0].b.byID[id]) * able * rule.OverloadWindow.Seconds() / rule.RampDuration.Seconds() / mean
 				got := 0.0
 				for _, s := range sends[id] {
-					if s.at > now-rule.Window {
+					if s.at > now-rule.OverloadWindow {
 						got += s.load / mean
 					}
 				}
--- a/choice/faults_test.go
+++ b/choice/faults_test.go
@@ -19,12 +19,12 @@
 		r.fill(60)
 		srv := r.b.ready[0]
 		if c.delay > 0 {
-			r.b.DelayNoted(r.now, srv.ID, c.delay)
+			r.b.RecordServerDelay(r.now, srv.ID, c.delay)
 		}
 		for i := 0; i < c.broken; i++ {
 			r.now += c.every
 			s := srv.held[0]
-			r.b.Settled(r.now, s.ID, DialNo(s.dials-1), srv.ID, Broken, 0, true)
+			r.b.HandleDialEnd(r.now, s.ID, DialNumber(s.dials-1), srv.ID, ConnectionLost, 0, true)
 		}
 		if late := srv.full > 0; late != c.late {
 			t.Errorf("%+v: late %v with %d held", c, late, len(srv.held))
@@ -39,7 +39,7 @@
 	r.fill(60)
 	hung := r.topServer(1)
 	before := len(hung.held)
-	r.b.DelayNoted(r.now, hung.ID, time.Minute)
+	r.b.RecordServerDelay(r.now, hung.ID, time.Minute)
 	if left := len(hung.held); left > before/2 {
 		t.Errorf("the hung server still holds %d of %d sessions", left, before)
 	}
@@ -54,7 +54,7 @@
 		}
 		for _, s := range r.order {
 			if s.dialing == hung.ID {
-				r.settle(s, Unanswered)
+				r.settle(s, TimedOut)
 			}
 		}
 		if r.now = hung.avoidUntil; r.now < time.Duration(tries+1)*r.b.longestWait {
@@ -66,9 +66,9 @@
 // TestGhosts: from lists that name servers which do not exist: whether such a one refuses, stays silent or answers with
 // errors, sessions soon pass it by.
 func TestGhosts(t *testing.T) {
-	for _, outcome := range []Outcome{Failed, Unanswered, Unreachable, Full} {
+	for _, outcome := range []Outcome{Failed, TimedOut, Unreachable, ServerFull} {
 		r := fleet(6)
-		if outcome == Full { // which after errors proves that it is there
+		if outcome == ServerFull { // which after errors proves that it is there
 			r.topServer(1).errors = 2
 		}
 		r.b.opened = 99
@@ -86,7 +86,7 @@
 				}
 			}
 		}
-		if tries == 0 || (tries > 2) != (outcome == Full) {
+		if tries == 0 || (tries > 2) != (outcome == ServerFull) {
 			t.Errorf("outcome %d: tried %d times by 30 sessions in a second and a half", outcome, tries)
 		}
 	}
--- a/choice/list_test.go
+++ b/choice/list_test.go
@@ -13,9 +13,9 @@
 	r := fleet(0)
 	var waits [3]time.Duration
 	for i := range waits {
-		r.b.List(r.now, ListFailed, nil)
+		r.b.ApplyList(r.now, ListFailed, nil)
 		waits[i], r.watches = r.lastTimer, 0
-		r.b.Tick(r.now, r.lastToken)
+		r.b.HandleTimer(r.now, r.lastToken)
 		if r.watches != 1 {
 			t.Fatal("did not ask again")
 		}
@@ -30,13 +30,13 @@
 func TestOneAsk(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	r := fleet(1)
-	for r.b.List(0, ListFailed, nil); r.now < 3000*sec && r.watches < 5000; {
+	for r.b.ApplyList(0, ListFailed, nil); r.now < 3000*sec && r.watches < 5000; {
 		next := slices.MinFunc(r.timers, func(a, c timer) int { return cmp.Compare(a.due, c.due) })
 		r.timers = slices.DeleteFunc(r.timers, func(t timer) bool { return t == next })
 		r.now = next.due
 		was := r.watches
-		if r.b.Tick(r.now, next.token); r.watches > was && rng.Intn(4) > 0 {
-			r.b.List(r.now, ListFailed, nil) // else nothing is ever heard of it
+		if r.b.HandleTimer(r.now, next.token); r.watches > was && rng.Intn(4) > 0 {
+			r.b.ApplyList(r.now, ListFailed, nil) // else nothing is ever heard of it
 		}
 	}
 	if r.watches < 300 || r.watches > 1500 {
@@ -50,9 +50,9 @@
 func TestLyingList(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		r := fleet(2)
-		r.b.list.DrainsBindAlone, r.drainsBindAlone = alone, alone
-		entry := func(id ServerID, standing Standing, since time.Duration) Entry {
-			return Entry{ID: id, Size: 1, Standing: standing, Started: since != 0, Since: since}
+		r.b.list.OnlyDrainsExclude, r.drainsBindAlone = alone, alone
+		entry := func(id ServerID, standing ServerStatus, since time.Duration) Entry {
+			return Entry{ID: id, Size: 1, Status: standing, StartKnown: since != 0, StartedAt: since}
 		}
 		for i, c := range []struct {
 			kind    ListKind
@@ -87,13 +87,13 @@
 // ready, though it opens what comes; once it has started anew it does.
 func TestSentAway(t *testing.T) {
 	r := fleet(2)
-	for r.b.SentAway(0, 1); r.now < 10*sec; r.now += sec {
+	for r.b.HandleDrainNotice(0, 1); r.now < 10*sec; r.now += sec {
 		if s := r.arrive(0, Key(r.now), 0, 0); s.dialing == 1 {
 			t.Fatalf("dialed at %v", r.now)
 		}
 	}
-	r.b.SentAway(r.now, 1)
-	r.publish(ListDelta, []Entry{{ID: 1, Standing: Ready, Started: true, Since: r.now - sec}})
+	r.b.HandleDrainNotice(r.now, 1)
+	r.publish(ListDelta, []Entry{{ID: 1, Status: Ready, StartKnown: true, StartedAt: r.now - sec}})
 	if !r.b.trusted(r.b.byID[1]) {
 		t.Error("not trusted after its start")
 	}
@@ -105,10 +105,10 @@
 	r.fill(30)
 	held := func(id ServerID) int { return len(r.b.byID[id].held) }
 	before, others := held(1), held(2)+held(3)
-	r.publish(ListDelta, []Entry{{ID: 1, Size: 4, Standing: Draining}})
+	r.publish(ListDelta, []Entry{{ID: 1, Size: 4, Status: Draining}})
 	for round := 1; round <= 12; round++ {
 		r.now += roundSpan
-		r.b.Tick(r.now, tokenRound)
+		r.b.HandleTimer(r.now, tokenRound)
 		if n := held(1); round == 1 && (n == 0 || n > before*2/3) || round == 12 && n > 0 {
 			t.Errorf("%d of %d sessions are left after round %d", n, before, round)
 		}
--- a/choice/overload_test.go
+++ b/choice/overload_test.go
@@ -14,7 +14,7 @@
 	r.fill(20)
 	r.now = sec
 	for _, srv := range r.b.ready {
-		r.b.DelayNoted(r.now, srv.ID, 400*ms)
+		r.b.RecordServerDelay(r.now, srv.ID, 400*ms)
 	}
 	for range 2 {
 		if s := r.arrive(0, 99, 99, 0); s.dials != 0 || s.answer != "refused" || s.retryAfter <= 0 {
@@ -32,7 +32,7 @@
 	srv := r.b.ready[0]
 	for id, k := SessionID(0), Key(1); id < 40; k++ {
 		for n := id + 4; r.topServer(k) == srv && id < n; id++ {
-			r.b.Hold(0, Arrival{ID: id, Group: k}, srv.ID)
+			r.b.AdoptSession(0, Arrival{ID: id, Group: k}, srv.ID)
 		}
 	}
 	r.b.relieve(srv, 20)
@@ -61,10 +61,10 @@
 		dialed, at := 0.0, 0.0
 		for k := Key(1); k <= 300; k++ {
 			if top := r.topServer(k); top.lateAt == 0 {
-				r.b.Arrive(r.now, Arrival{ID: SessionID(k), Left: sec, Client: k, Group: k, Returned: returned})
+				r.b.PlaceSession(r.now, Arrival{ID: SessionID(k), TimeLeft: sec, Client: k, Group: k, Reconnected: returned})
 				at++
 				dialed += float64(len(top.dialing))
-				r.b.Settled(r.now, SessionID(k), 0, top.ID, Cancelled, 0, true)
+				r.b.HandleDialEnd(r.now, SessionID(k), 0, top.ID, Cancelled, 0, true)
 			}
 		}
 		if got := dialed / at; math.Abs(got-want) > 0.1 {
@@ -76,13 +76,13 @@
 // TestWords: from 208 proxies that each found overloaded servers for themselves; about one of those that observe one
 // publishes it, if that is allowed and worth its price. What others published holds as long as a report of the server's.
 func TestWords(t *testing.T) {
-	for want, rule := range []WordRule{{}, {Allowed: true, Price: 0.1}, {Allowed: true}} {
+	for want, rule := range []PeerReportSettings{{}, {Enabled: true, CostPerMessage: 0.1}, {Enabled: true}} {
 		published := 0
 		for seed := range int64(200) {
 			r := fleet(9)
-			r.b.words, r.b.cold.Proxies, r.b.chance = rule, 200, rand.New(rand.NewSource(seed))
+			r.b.words, r.b.cold.ProxyCount, r.b.chance = rule, 200, rand.New(rand.NewSource(seed))
 			r.fill(9)
-			r.b.DelayNoted(sec, r.topServer(1).ID, 200*ms)
+			r.b.RecordServerDelay(sec, r.topServer(1).ID, 200*ms)
 			published += r.delayReports
 		}
 		if want = want / 2; published < want || published > 5*want {
@@ -91,8 +91,8 @@
 	}
 	r := fleet(3)
 	top := r.topServer(5)
-	r.b.Told(sec, top.ID, 200*ms)
-	r.b.Told(sec, 99, 200*ms) // which no list has named
+	r.b.ReceiveOverload(sec, top.ID, 200*ms)
+	r.b.ReceiveOverload(sec, 99, 200*ms) // which no list has named
 	for r.now = 2 * sec; r.now < 4*sec; r.now += sec {
 		if s := r.arrive(0, 5, 5, 0); s.dialing == 99 || (s.dialing == top.ID) != (r.now == 3*sec) {
 			t.Errorf("at %v server %d is dialed", r.now, s.dialing)
@@ -105,7 +105,7 @@
 	for delay, want := range map[time.Duration]int{30 * ms: 1, 40 * ms: 0} {
 		r := fleet(2)
 		for _, srv := range r.b.ready {
-			r.b.DelayNoted(0, srv.ID, delay)
+			r.b.RecordServerDelay(0, srv.ID, delay)
 		}
 		if s := r.arrive(0, 1, 1, 0); s.dials != want {
 			t.Errorf("%d dials to servers whose messages take %v of %v", s.dials, delay, r.b.messageTarget)
@@ -166,7 +166,7 @@
 					late++
 				}
 			} else {
-				r.b.Settled(r.now, s.id, DialNo(s.dials-1), 1, Accepted, 0, true)
+				r.b.HandleDialEnd(r.now, s.id, DialNumber(s.dials-1), 1, Accepted, 0, true)
 			}
 		}
 		if bad < 6 && refused > 0 || late > 0 || r.failure != "" {
@@ -179,20 +179,20 @@
 // clients had last been told to ask for next to nothing: each counts as its listener's usual session at least.
 func TestIdleClients(t *testing.T) {
 	r := fleet(3)
-	r.b.cold.Proxies = 2
+	r.b.cold.ProxyCount = 2
 	for k := range Key(60) {
 		s := r.arrive(0, k, 0, 0)
 		r.settle(s, Accepted)
-		r.b.LoadNoted(0, s.id, 0, 1)
+		r.b.RecordSessionLoad(0, s.id, 0, 1)
 	}
 	r.b.round()
 	for k := range Key(600) {
 		r.b.loadOf[k] = 0.001
 	}
-	r.publish(ListDelta, []Entry{{ID: 100, Size: 2, Standing: Ready, Started: true, Since: -2 * sec}})
+	r.publish(ListDelta, []Entry{{ID: 100, Size: 2, Status: Ready, StartKnown: true, StartedAt: -2 * sec}})
 	for k := range Key(600) {
 		for s := r.arrive(0, k, 0, 0); s.dialing != 0; {
-			r.settle(s, Full)
+			r.settle(s, ServerFull)
 		}
 	}
 	if n := float64(len(r.dialsTo[100])); n == 0 || n > 6 || r.failure != "" {
@@ -226,9 +226,9 @@
 		for client, load := range map[Key]float64{1: load, 2: 1} {
 			s := r.arrive(0, client, 0, 0)
 			r.settle(s, Accepted)
-			r.b.LoadNoted(0, s.id, 0, load)
+			r.b.RecordSessionLoad(0, s.id, 0, load)
 			if client == 1 {
-				r.b.Settled(0, s.id, 0, 1, Accepted, 0, true)
+				r.b.HandleDialEnd(0, s.id, 0, 1, Accepted, 0, true)
 			}
 		}
 		r.b.ready[0].full = 2
--- a/choice/random_test.go
+++ b/choice/random_test.go
@@ -25,11 +25,11 @@
 	case 9:
 		r.list([]ListKind{ListFull, ListCached}[rng.Intn(2)], 3+rng.Intn(r.maxServers-2))
 	case 10:
-		report := []func(time.Duration, ServerID, time.Duration){r.b.DelayNoted, r.b.Told}[rng.Intn(2)]
+		report := []func(time.Duration, ServerID, time.Duration){r.b.RecordServerDelay, r.b.ReceiveOverload}[rng.Intn(2)]
 		report(r.now, id, randomTime(rng, 8*sec))
 	case 11:
 		toOther := rng.Intn(8) == 0
-		budgets := []DialBudget{{}, {1, 0.1, 2 * sec}, {0, 0.3, 5 * sec}}
+		budgets := []RetryBudget{{}, {1, 0.1, 2 * sec}, {0, 0.3, 5 * sec}}
 		r.switchSettings(toOther, budgets[rng.Intn(len(budgets))])
 	}
 	r.checkAnswersDue()
@@ -43,7 +43,7 @@
 func (r *rig) expireDials() {
 	for _, s := range r.order {
 		if s.dialing != 0 && s.outUntil <= r.now {
-			r.settle(s, Unanswered)
+			r.settle(s, TimedOut)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 		if t.due > r.now {
 			r.timers = append(r.timers, t)
 		} else {
-			r.b.Tick(r.now, t.token)
+			r.b.HandleTimer(r.now, t.token)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 	if s.dialing != 0 {
 		r.settle(s, Outcome(1+rng.Intn(8)))
 	} else {
-		r.b.Settled(r.now, s.id, DialNo(s.dials), id, Failed, 0, false)
+		r.b.HandleDialEnd(r.now, s.id, DialNumber(s.dials), id, Failed, 0, false)
 	}
 }
 
@@ -89,15 +89,15 @@
 	}
 	if s := r.order[rng.Intn(len(r.order))]; s.answer == "" && !s.clientGone {
 		s.clientGone, s.isOpen = true, false
-		r.b.Left(r.now, s.id)
+		r.b.HandleClientGone(r.now, s.id)
 	}
 }
 
 // changeServerAtRandom publishes another state of a server.
 func (r *rig) changeServerAtRandom(rng *rand.Rand, id ServerID) {
 	e := Entry{ID: id, Size: 2, Zone: ZoneID(id % 3), Cell: CellID(id % 4)}
-	e.Standing = Standing(rng.Intn(3))
-	e.Started, e.Since = true, max(r.listed[id].Since, r.now-randomTime(rng, 30*sec))
+	e.Status = ServerStatus(rng.Intn(3))
+	e.StartKnown, e.StartedAt = true, max(r.listed[id].StartedAt, r.now-randomTime(rng, 30*sec))
 	r.publish(ListDelta, []Entry{e})
 }
 
--- a/choice/rig_test.go
+++ b/choice/rig_test.go
@@ -25,24 +25,24 @@
 	peakDensity     float64                      // the most sessions for each unit of size so far
 	timers          []timer
 	lastTimer       time.Duration
-	lastToken       Token
+	lastToken       TimerToken
 	watches         int
 	delayReports    int
 	maxServers      int  // servers in a list
 	drainsBindAlone bool // drains alone bind
 	listeners       []Listener
 	dials           DialLimits
-	budget          DialBudget
+	budget          RetryBudget
 	arrivals        []time.Duration
 	furtherDials    []time.Duration // dials beyond each session's first
-	cold            ColdRule
+	cold            ColdSettings
 	next            SessionID
 }
 
 // timer is a call of Tick that the module asked for.
 type timer struct {
 	due   time.Duration
-	token Token
+	token TimerToken
 }
 
 // clientSession is a session as its client and the network see it.
@@ -73,11 +73,11 @@
 }
 
 // newRig is a rig without a list.
-func newRig(cold ColdRule, rng *rand.Rand) *rig {
-	r := &rig{maxServers: 9, listeners: someListeners, dials: DialLimits{MostDials: 4, MaxComeBack: 2 * sec}, cold: cold, sessions: map[SessionID]*clientSession{}, listed: map[ServerID]Entry{},
+func newRig(cold ColdSettings, rng *rand.Rand) *rig {
+	r := &rig{maxServers: 9, listeners: someListeners, dials: DialLimits{MaxDials: 4, MaxRetryAfter: 2 * sec}, cold: cold, sessions: map[SessionID]*clientSession{}, listed: map[ServerID]Entry{},
 		dialsTo: map[ServerID][]time.Duration{}, coldDials: map[ServerID][]time.Duration{}}
-	r.b = New(r, rng, someListeners, DialLimits{MostDials: 4, MaxComeBack: 2 * sec}, DialBudget{},
-		ListRules{MustWatch: true, MustAskIn: 10 * sec}, cold, WordRule{})
+	r.b = New(r, rng, someListeners, DialLimits{MaxDials: 4, MaxRetryAfter: 2 * sec}, RetryBudget{},
+		ListSettings{NeedsSubscription: true, MaxPollInterval: 10 * sec}, cold, PeerReportSettings{})
 	return r
 }
 
@@ -95,24 +95,24 @@
 		return
 	}
 	e, known := r.listed[to]
-	l, repeats := s.listener, s.mayHaveRun && s.listener.Effect == Referenced
+	l, repeats := s.listener, s.mayHaveRun && s.listener.Idempotency == IdempotencyKeyed
 	switch {
 	case s.answer != "" || s.isOpen || s.clientGone:
 		r.fail("session %d is dialed after its end", id)
 	case s.dialing != 0:
 		r.fail("session %d has two dials out", id)
-	case s.dials >= s.MostDials:
+	case s.dials >= s.MaxDials:
 		r.fail("session %d has too many dials", id)
 	case limit <= 0 || r.now+limit > s.deadline:
 		r.fail("session %d: dial of %v with %v left", id, limit, s.deadline-r.now)
-	case !known || e.Standing == Draining || e.Standing == Gone && !r.drainsBindAlone:
+	case !known || e.Status == Draining || e.Status == Gone && !r.drainsBindAlone:
 		r.fail("session %d is dialed to server %d, which is not ready", id, to)
-	case s.mayHaveRun && l.Effect == OnceOnly:
+	case s.mayHaveRun && l.Idempotency == NonIdempotent:
 		r.fail("once-only session %d is dialed twice", id)
-	case repeats && r.now-s.firstDialAt > l.RepeatWindow:
+	case repeats && r.now-s.firstDialAt > l.DedupWindow:
 		r.fail("referenced session %d is repeated too late", id)
-	case repeats && l.Group == GroupZone && e.Zone != r.listed[s.firstServer].Zone,
-		repeats && l.Group == GroupCell && e.Cell != r.listed[s.firstServer].Cell:
+	case repeats && l.DedupScope == DedupZone && e.Zone != r.listed[s.firstServer].Zone,
+		repeats && l.DedupScope == DedupCell && e.Cell != r.listed[s.firstServer].Cell:
 		r.fail("referenced session %d leaves its group", id)
 	}
 	r.checkColdBudget(to, e)
@@ -126,16 +126,16 @@
 
 // checkColdBudget checks the window that ends now against this proxy's share of the budget, in whole dials.
 func (r *rig) checkColdBudget(to ServerID, e Entry) {
-	age := r.now - e.Since
-	if !e.Started || age >= r.cold.Span {
+	age := r.now - e.StartedAt
+	if !e.StartKnown || age >= r.cold.RampDuration {
 		return
 	}
-	warmth := r.cold.From + (1-r.cold.From)*max(age, 0).Seconds()/r.cold.Span.Seconds()
-	window := r.cold.Window.Seconds() / r.cold.Span.Seconds()
+	warmth := r.cold.InitialShare + (1-r.cold.InitialShare)*max(age, 0).Seconds()/r.cold.RampDuration.Seconds()
+	window := r.cold.OverloadWindow.Seconds() / r.cold.RampDuration.Seconds()
 	capacity := max(2*r.peakDensity, 1/r.totalSize()) * e.Size / assumedLoad // where half of the fleet holds all
-	share := warmth * r.cold.Multiple * window * capacity
+	share := warmth * r.cold.OverloadMultiple * window * capacity
 	r.coldDials[to] = append(r.coldDials[to], r.now)
-	if n := inWindow(r.coldDials[to], r.now-r.cold.Window); float64(n) > math.Ceil(share)+2 { // in whole slots of two windows
+	if n := inWindow(r.coldDials[to], r.now-r.cold.OverloadWindow); float64(n) > math.Ceil(share)+2 { // in whole slots of two windows
 		r.fail("cold server %d gets %d dials in a window of budget %.2f", to, n, share)
 	}
 }
@@ -143,7 +143,7 @@
 // checkBudget checks the window that ends now, which holds the present dial.
 func (r *rig) checkBudget(id SessionID) {
 	windowStart := r.now - r.budget.Window
-	allowed := r.budget.Free + r.budget.Share*float64(inWindow(r.arrivals, windowStart))
+	allowed := r.budget.FreeRetries + r.budget.RetriesPerSession*float64(inWindow(r.arrivals, windowStart))
 	if n := inWindow(r.furtherDials, windowStart); r.budget.Window > 0 && float64(n) > allowed {
 		r.fail("session %d is dialed again as number %d of %.2f in %v", id, n, allowed, r.budget.Window)
 	}
@@ -175,7 +175,7 @@
 // totalSize is that of the ready servers.
 func (r *rig) totalSize() (sum float64) {
 	for _, e := range r.listed {
-		if e.Standing == Ready {
+		if e.Status == Ready {
 			sum += e.Size
 		}
 	}
@@ -198,14 +198,14 @@
 func (r *rig) Refuse(id SessionID, retryAfter time.Duration) {
 	s := r.end(id, "refused")
 	s.retryAfter = retryAfter
-	if l := s.listener; retryAfter > s.MaxComeBack || s.MaxComeBack > 0 && retryAfter <= 0 {
+	if l := s.listener; retryAfter > s.MaxRetryAfter || s.MaxRetryAfter > 0 && retryAfter <= 0 {
 		r.fail("session %d is to come back after %v", id, retryAfter)
-	} else if s.mayHaveRun && (l.Effect == OnceOnly || l.Effect == Referenced && l.Group != GroupAll) {
+	} else if s.mayHaveRun && (l.Idempotency == NonIdempotent || l.Idempotency == IdempotencyKeyed && l.DedupScope != DedupAll) {
 		r.fail("session %d is refused though it may have run", id)
 	}
 }
 
-func (r *rig) TearDown(id SessionID) { r.end(id, "torn down") }
+func (r *rig) Abort(id SessionID) { r.end(id, "torn down") }
 
 func (r *rig) Move(id SessionID) {
 	if s := r.sessions[id]; s != nil {
@@ -216,21 +216,21 @@
 	}
 }
 
-func (r *rig) Timer(after time.Duration, token Token) {
+func (r *rig) StartTimer(after time.Duration, token TimerToken) {
 	r.lastTimer, r.lastToken = after, token
 	r.timers = append(r.timers, timer{r.now + after, token})
 }
 
-func (r *rig) Tell(ServerID, time.Duration) { r.delayReports++ }
-func (r *rig) Watch()                       { r.watches++ }
-func (r *rig) Log(string)                   {}
+func (r *rig) PublishOverload(ServerID, time.Duration) { r.delayReports++ }
+func (r *rig) SubscribeList()                          { r.watches++ }
+func (r *rig) Log(string)                              {}
 
 // list publishes servers 1 to n, of sizes 2 and 4, each size of a model of its own.
 func (r *rig) list(kind ListKind, n int) {
 	entries := []Entry{}
 	for i := 1; i <= n; i++ {
 		entries = append(entries, Entry{ID: ServerID(i), Size: float64(2 + i%2*2), Zone: ZoneID(i % 3),
-			Cell: CellID(i % 4), Model: ModelID(3 * (i % 2)), Standing: Ready})
+			Cell: CellID(i % 4), Model: ModelID(3 * (i % 2)), Status: Ready})
 	}
 	r.publish(kind, entries)
 }
@@ -239,28 +239,28 @@
 func (r *rig) publish(kind ListKind, entries []Entry) {
 	if kind == ListFull || kind == ListCached {
 		for id, e := range r.listed {
-			e.Standing = Gone
+			e.Status = Gone
 			r.listed[id] = e
 		}
 	}
 	for _, e := range entries {
 		was := r.listed[e.ID] // Gone if unknown
-		if e.Started && (!was.Started || was.Since < e.Since || was.Standing == Gone) {
+		if e.StartKnown && (!was.StartKnown || was.StartedAt < e.StartedAt || was.Status == Gone) {
 			delete(r.coldDials, e.ID)
 		}
 		r.listed[e.ID] = e
 	}
-	r.b.List(r.now, kind, entries)
+	r.b.ApplyList(r.now, kind, entries)
 }
 
 // switchSettings switches to the settings of another deployment, or back, with a budget of dials or without.
-func (r *rig) switchSettings(other bool, budget DialBudget) {
+func (r *rig) switchSettings(other bool, budget RetryBudget) {
 	r.budget = budget
-	r.listeners, r.cold, r.dials = someListeners, someCold, DialLimits{MostDials: 4, MaxComeBack: 2 * sec}
+	r.listeners, r.cold, r.dials = someListeners, someCold, DialLimits{MaxDials: 4, MaxRetryAfter: 2 * sec}
 	if other {
-		r.listeners, r.cold, r.dials = otherListeners, otherCold, DialLimits{MostDials: 2}
+		r.listeners, r.cold, r.dials = otherListeners, otherCold, DialLimits{MaxDials: 2}
 	}
-	r.b.Switch(r.now, r.listeners, r.dials, budget, ListRules{MustWatch: true, MustAskIn: 10 * sec}, r.cold, WordRule{Allowed: other})
+	r.b.Reconfigure(r.now, r.listeners, r.dials, budget, ListSettings{NeedsSubscription: true, MaxPollInterval: 10 * sec}, r.cold, PeerReportSettings{Enabled: other})
 }
 
 func anyServer(*Balancer, *session, *server) bool { return true }
@@ -281,8 +281,8 @@
 	r.sessions[s.id] = s
 	r.order = append(r.order, s)
 	r.arrivals = append(r.arrivals, r.now)
-	a := Arrival{ID: s.id, Listener: listener, Left: left, Client: client, Group: group}
-	if err := r.b.Arrive(r.now, a); err != nil {
+	a := Arrival{ID: s.id, Listener: listener, TimeLeft: left, Client: client, Group: group}
+	if err := r.b.PlaceSession(r.now, a); err != nil {
 		r.fail("%v", err)
 	}
 	return s
@@ -297,15 +297,15 @@
 
 // settle ends a session's dial.
 func (r *rig) settle(s *clientSession, outcome Outcome) {
-	to, no := s.dialing, DialNo(s.dials-1)
+	to, no := s.dialing, DialNumber(s.dials-1)
 	s.dialing = 0
 	if outcome == Accepted {
 		s.isOpen = !s.clientGone
-		r.b.Opened(r.now, s.id, to, no, r.now-s.outSince)
+		r.b.HandleOpened(r.now, s.id, to, no, r.now-s.outSince)
 		return
 	}
 	if !outcome.ProvesNotRun() && !s.mayHaveRun {
 		s.mayHaveRun, s.firstServer, s.firstDialAt = true, to, s.outSince
 	}
-	r.b.Settled(r.now, s.id, no, to, outcome, r.now-s.outSince, s.clientGone)
+	r.b.HandleDialEnd(r.now, s.id, no, to, outcome, r.now-s.outSince, s.clientGone)
 }
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -11,30 +11,30 @@
 	for _, other := range []bool{false, true} {
 		r, before, most := fleet(6), 0, 4
 		r.fill(300)
-		r.b.LoadNoted(0, 1, 0, 0.5)
+		r.b.RecordSessionLoad(0, 1, 0, 0.5)
 		r.notePeak()
 		r.b.round()
-		r.publish(ListDelta, []Entry{{ID: 9, Size: 4, Standing: Ready, Started: true, Since: 0}})
+		r.publish(ListDelta, []Entry{{ID: 9, Size: 4, Status: Ready, StartKnown: true, StartedAt: 0}})
 		for k := range Key(400) {
 			r.now += 50 * ms
 			s := r.arrive(1, k, 0, 0)
 			if k == 100 {
 				r.b.models[0].speed, r.b.ready[0].full = 0.8, 3
-				r.switchSettings(other, DialBudget{})
+				r.switchSettings(other, RetryBudget{})
 			}
 			for s.dialing != 0 {
-				r.settle(s, Full)
+				r.settle(s, ServerFull)
 			}
 			load := r.b.terms[map[bool]int{true: 1}[other && k >= 100]].loads.value
 			if s.dials != most || load != 0.5 || k == 100 && (r.b.models[0].speed != 0.8 || r.b.ready[0].full != 3) {
 				t.Fatalf("other %v: session %d has %d dials, want %d; or something learnt is lost", other, k, s.dials, most)
 			}
 			if k == 100 {
-				before, most = len(r.dialsTo[9]), r.dials.MostDials
+				before, most = len(r.dialsTo[9]), r.dials.MaxDials
 			}
 		}
 		after := r.dialsTo[9][before:]
-		if waits := after[0]-101*50*ms >= someCold.Window; before == 0 || waits != other || r.failure != "" {
+		if waits := after[0]-101*50*ms >= someCold.OverloadWindow; before == 0 || waits != other || r.failure != "" {
 			t.Errorf("other %v: %d dials before, then at %v; %s", other, before, after, r.failure)
 		}
 	}
@@ -44,15 +44,15 @@
 // listener is no more; without them it comes under its listener's now.
 func TestUnder(t *testing.T) {
 	r := fleet(3)
-	was := r.b.Under(0)
+	was := r.b.SessionSettings(0)
 	once := append([]Listener(nil), r.listeners...)
-	once[0].Name, once[0].Effect, once[0].DialTimeout = "other", OnceOnly, once[0].DialTimeout+sec
-	r.b.Switch(r.now, once, r.dials, DialBudget{}, ListRules{MustWatch: true, MustAskIn: 10 * sec}, r.cold, WordRule{})
-	for id, under := range map[SessionID]Under{1001: was, 1002: {}} {
-		if err := r.b.Hold(r.now, Arrival{ID: id, Left: sec, Under: under}, 1); err != nil {
+	once[0].Name, once[0].Idempotency, once[0].DialTimeout = "other", NonIdempotent, once[0].DialTimeout+sec
+	r.b.Reconfigure(r.now, once, r.dials, RetryBudget{}, ListSettings{NeedsSubscription: true, MaxPollInterval: 10 * sec}, r.cold, PeerReportSettings{})
+	for id, under := range map[SessionID]SessionSettings{1001: was, 1002: {}} {
+		if err := r.b.AdoptSession(r.now, Arrival{ID: id, TimeLeft: sec, Settings: under}, 1); err != nil {
 			t.Fatal(err)
 		}
-		if got, want := r.b.sessions[id].Name == "other", under == (Under{}); got != want {
+		if got, want := r.b.sessions[id].Name == "other", under == (SessionSettings{}); got != want {
 			t.Errorf("session %d comes under %+v", id, *r.b.sessions[id].terms)
 		}
 	}
@@ -73,7 +73,7 @@
 			}
 		}
 		r.now += roundSpan
-		r.b.Tick(r.now, tokenRound)
+		r.b.HandleTimer(r.now, tokenRound)
 		s := &session{Arrival: Arrival{Group: 5}}
 		if a := testing.AllocsPerRun(100, func() { r.b.next(s) }); a != 0 {
 			t.Errorf("%d servers: %v allocations a pick", n, a)
--- a/choice/slopes_test.go
+++ b/choice/slopes_test.go
@@ -28,18 +28,18 @@
 func (f *quietFront) Dial(_ SessionID, to ServerID, _ time.Duration) {
 	f.server, f.dials = to, f.dials+1
 }
-func (f *quietFront) Refuse(SessionID, time.Duration) {}
-func (f *quietFront) TearDown(SessionID)              {}
-func (f *quietFront) Move(SessionID)                  {}
-func (f *quietFront) Tell(ServerID, time.Duration)    {}
-func (f *quietFront) Timer(time.Duration, Token)      {}
-func (f *quietFront) Watch()                          {}
-func (f *quietFront) Log(string)                      {}
+func (f *quietFront) Refuse(SessionID, time.Duration)         {}
+func (f *quietFront) Abort(SessionID)                         {}
+func (f *quietFront) Move(SessionID)                          {}
+func (f *quietFront) PublishOverload(ServerID, time.Duration) {}
+func (f *quietFront) StartTimer(time.Duration, TimerToken)    {}
+func (f *quietFront) SubscribeList()                          {}
+func (f *quietFront) Log(string)                              {}
 
 func slopeEntries(servers int) []Entry {
 	entries := make([]Entry, servers)
 	for i := range entries {
-		entries[i] = Entry{ID: ServerID(mix(uint64(i))), Size: float64(2 + i%3), Zone: ZoneID(i % 10), Standing: Ready}
+		entries[i] = Entry{ID: ServerID(mix(uint64(i))), Size: float64(2 + i%3), Zone: ZoneID(i % 10), Status: Ready}
 	}
 	return entries
 }
@@ -48,9 +48,9 @@
 func balancerOf(servers, sessions int) (*Balancer, *quietFront) {
 	front := &quietFront{}
 	listeners := []Listener{{Name: "push", HandshakeTarget: sec, DialTimeout: 3 * sec, MessageTarget: sec, Utility: 1}}
-	b := New(front, rand.New(rand.NewSource(1)), listeners, DialLimits{MostDials: 3, MaxComeBack: sec}, DialBudget{},
-		ListRules{MustWatch: true, MustAskIn: 10 * sec}, ColdRule{}, WordRule{})
-	b.List(0, ListFull, slopeEntries(servers))
+	b := New(front, rand.New(rand.NewSource(1)), listeners, DialLimits{MaxDials: 3, MaxRetryAfter: sec}, RetryBudget{},
+		ListSettings{NeedsSubscription: true, MaxPollInterval: 10 * sec}, ColdSettings{}, PeerReportSettings{})
+	b.ApplyList(0, ListFull, slopeEntries(servers))
 	for id := range sessions {
 		openSession(b, front, SessionID(id+1))
 	}
@@ -62,16 +62,16 @@
 }
 
 func openInGroup(b *Balancer, front *quietFront, id SessionID, group Key) {
-	a := Arrival{ID: id, Left: 3 * sec, Client: Key(id), Group: group}
-	if err := b.Arrive(0, a); err != nil {
+	a := Arrival{ID: id, TimeLeft: 3 * sec, Client: Key(id), Group: group}
+	if err := b.PlaceSession(0, a); err != nil {
 		panic(err) // ids are fresh
 	}
-	b.Opened(0, id, front.server, 0, 0)
+	b.HandleOpened(0, id, front.server, 0, 0)
 }
 
 func closeSession(b *Balancer, front *quietFront, id SessionID) {
-	b.Left(0, id)
-	b.Settled(0, id, 0, front.server, Cancelled, 0, true)
+	b.HandleClientGone(0, id)
+	b.HandleDialEnd(0, id, 0, front.server, Cancelled, 0, true)
 }
 
 func BenchmarkSlopeModuleListDelta(b *testing.B) {
@@ -80,7 +80,7 @@
 			balancer, _ := balancerOf(n, 0)
 			entry := slopeEntries(n)[:1]
 			for b.Loop() {
-				balancer.List(0, ListDelta, entry)
+				balancer.ApplyList(0, ListDelta, entry)
 			}
 		})
 	}
@@ -92,7 +92,7 @@
 			balancer, _ := balancerOf(n, 0)
 			entries := slopeEntries(n)
 			for b.Loop() {
-				balancer.List(0, ListFull, entries)
+				balancer.ApplyList(0, ListFull, entries)
 			}
 		})
 	}
@@ -117,7 +117,7 @@
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			balancer, _ := balancerOf(n, 0)
 			for b.Loop() {
-				balancer.Tick(0, tokenRound)
+				balancer.HandleTimer(0, tokenRound)
 			}
 		})
 	}
@@ -128,7 +128,7 @@
 		b.Run(fmt.Sprintf("sessions=%d", n), func(b *testing.B) {
 			balancer, _ := balancerOf(usualServers, n)
 			for b.Loop() {
-				balancer.Tick(0, tokenRound)
+				balancer.HandleTimer(0, tokenRound)
 			}
 		})
 	}
@@ -176,8 +176,8 @@
 			balancer, _ := balancerOf(n, 0)
 			listeners := []Listener{{Name: "push", HandshakeTarget: sec, DialTimeout: 3 * sec, MessageTarget: sec, Utility: 1}}
 			for b.Loop() {
-				balancer.Switch(0, listeners, DialLimits{MostDials: 3}, DialBudget{}, ListRules{MustWatch: true, MustAskIn: 10 * sec},
-					ColdRule{}, WordRule{})
+				balancer.Reconfigure(0, listeners, DialLimits{MaxDials: 3}, RetryBudget{}, ListSettings{NeedsSubscription: true, MaxPollInterval: 10 * sec},
+					ColdSettings{}, PeerReportSettings{})
 			}
 		})
 	}
@@ -190,12 +190,12 @@
 			all := slopeEntries(usualServers + gone)
 			balancer, bytes := heap.Held(func() *Balancer {
 				balancer, _ := balancerOf(0, 0)
-				balancer.List(0, ListFull, all)
-				balancer.List(0, ListFull, all[:usualServers])
+				balancer.ApplyList(0, ListFull, all)
+				balancer.ApplyList(0, ListFull, all[:usualServers])
 				return balancer
 			})
 			for b.Loop() {
-				balancer.List(0, ListDelta, all[:1])
+				balancer.ApplyList(0, ListDelta, all[:1])
 			}
 			b.ReportMetric(bytes, "held-B")
 		})
@@ -222,14 +222,14 @@
 			balancer, _ := balancerOf(0, 0)
 			entries := slopeEntries(coldServers)
 			for i := range entries {
-				entries[i].Size, entries[i].Started = 1, true
+				entries[i].Size, entries[i].StartKnown = 1, true
 			}
 			var first time.Duration
 			allowed := 0.0
 			for b.Loop() {
 				first, allowed = 0, 0
-				balancer.cold = ColdRule{Span: slopeColdSpan, From: 0.2, Multiple: 3, Window: slopeColdWindow, Proxies: proxies, Me: proxies / 3}
-				balancer.List(0, ListFull, entries)
+				balancer.cold = ColdSettings{RampDuration: slopeColdSpan, InitialShare: 0.2, OverloadMultiple: 3, OverloadWindow: slopeColdWindow, ProxyCount: proxies, ProxyIndex: proxies / 3}
+				balancer.ApplyList(0, ListFull, entries)
 				balancer.calm = sessionsEach
 				for _, srv := range balancer.servers {
 					at, turns := coldTurns(balancer, srv)
@@ -261,7 +261,7 @@
 		b.Run(fmt.Sprintf("sessions=%d", n), func(b *testing.B) {
 			balancer, bytes := heap.Held(func() *Balancer {
 				balancer, _ := balancerOf(0, 0)
-				balancer.budget = DialBudget{Free: 10, Share: 0.1, Window: time.Minute}
+				balancer.budget = RetryBudget{FreeRetries: 10, RetriesPerSession: 0.1, Window: time.Minute}
 				for i := range n {
 					balancer.taken.add(time.Duration(i)*time.Minute/time.Duration(n), 0)
 				}
--- a/choice/weights_test.go
+++ b/choice/weights_test.go
@@ -85,7 +85,7 @@
 		{20, 190, 10, 20, 3}} {
 		r := fleet(c.servers)
 		for i := range c.others + c.ours {
-			r.b.Hold(0, Arrival{ID: SessionID(i), Group: Key(7 + max(0, i-c.ours+1))}, ServerID(1+i%c.servers))
+			r.b.AdoptSession(0, Arrival{ID: SessionID(i), Group: Key(7 + max(0, i-c.ours+1))}, ServerID(1+i%c.servers))
 		}
 		r.now, r.b.now = sec, sec
 		for _, srv := range r.b.ready[:c.late] {
@@ -106,7 +106,7 @@
 		at := map[ServerID]int{}
 		for k := range Key(clients) {
 			cold := someCold
-			cold.Proxies = c.proxies
+			cold.ProxyCount = c.proxies
 			r := newRig(cold, rand.New(rand.NewSource(int64(k))))
 			r.list(ListFull, c.servers)
 			at[r.arrive(0, k+1, 9, 0).dialing]++
@@ -132,14 +132,14 @@
 	}{{[]ServerID{1}, 4, 0.4, 0.7}, {[]ServerID{2}, 4, 0.1, 0.3}, {[]ServerID{1, 2}, 10, 0.33, 0.34}, {[]ServerID{1}, 5000, 0.88, 0.9}} {
 		r := fleet(20)
 		for i := range 200 {
-			r.b.Hold(0, Arrival{ID: SessionID(i), Client: Key(i)}, ServerID(1+i%20))
+			r.b.AdoptSession(0, Arrival{ID: SessionID(i), Client: Key(i)}, ServerID(1+i%20))
 		}
 		for range c.rounds {
 			r.now += roundSpan
 			for _, id := range c.late {
-				r.b.DelayNoted(r.now, id, 101*ms)
+				r.b.RecordServerDelay(r.now, id, 101*ms)
 			}
-			r.b.Tick(r.now, tokenRound)
+			r.b.HandleTimer(r.now, tokenRound)
 		}
 		one, two := 10*r.b.part(r.b.byID[1]), 10*r.b.part(r.b.byID[2])
 		if two < c.least || two > c.most || math.Abs(one+two-1) > 1e-9 || r.failure != "" {
@@ -160,7 +160,7 @@
 			s := r.arrive(0, 1, 1, 0)
 			to := s.dialing
 			r.settle(s, Accepted)
-			r.b.DelayNoted(sec, to, someListeners[0].MessageTarget/3+growth)
+			r.b.RecordServerDelay(sec, to, someListeners[0].MessageTarget/3+growth)
 			if s.clientGone {
 				moved++
 			}
--- a/cmd/benchlink/events.go
+++ b/cmd/benchlink/events.go
@@ -30,16 +30,16 @@
 }
 
 func (p proxy) note(now time.Duration, f *benchwire.Fields) error {
-	id, dial, server := choice.SessionID(f.U32()), choice.DialNo(f.U16()), choice.ServerID(f.U32())
+	id, dial, server := choice.SessionID(f.U32()), choice.DialNumber(f.U16()), choice.ServerID(f.U32())
 	kind, level := f.U8(), f.F32()
 	if err := f.End(); err != nil {
 		return err
 	}
 	switch kind {
 	case noteLoad:
-		p.balancer.LoadNoted(now, id, dial, level/1e6)
+		p.balancer.RecordSessionLoad(now, id, dial, level/1e6)
 	case noteDelay:
-		p.balancer.DelayNoted(now, server, time.Duration(level*float64(time.Millisecond)))
+		p.balancer.RecordServerDelay(now, server, time.Duration(level*float64(time.Millisecond)))
 	}
 	return nil
 }
@@ -49,7 +49,7 @@
 		ID:       choice.SessionID(f.U32()),
 		Tenant:   choice.TenantID(f.U32()),
 		Listener: choice.ListenerID(f.U16()),
-		Left:     f.Duration(),
+		TimeLeft: f.Duration(),
 	}
 	load := f.F64()
 	a.Group, a.Client = choice.Key(f.U64()), choice.Key(f.U64())
@@ -57,7 +57,7 @@
 	if err := f.End(); err != nil {
 		return err
 	}
-	return p.balancer.Arrive(now, a)
+	return p.balancer.PlaceSession(now, a)
 }
 
 // openHeld is a session that is established at a server when its proxy first sees it.
@@ -67,7 +67,7 @@
 		Listener: choice.ListenerID(f.U16()),
 		Tenant:   choice.TenantID(f.U32()),
 		Client:   choice.Key(f.U64()),
-		Left:     f.Duration(),
+		TimeLeft: f.Duration(),
 	}
 	load := f.F64()
 	a.Group = choice.Key(f.U64())
@@ -76,45 +76,45 @@
 	if err := f.End(); err != nil {
 		return err
 	}
-	return p.balancer.Hold(now, a, server)
+	return p.balancer.AdoptSession(now, a, server)
 }
 
 // setOptions reads the options of an arrival; the hint of its load comes in milliseconds of work a second.
 func setOptions(a *choice.Arrival, options uint8, load float64) {
 	a.MidFlow = options&optionMidFlow != 0
-	a.Returned = options&optionReturned != 0
+	a.Reconnected = options&optionReturned != 0
 	if options&optionLoad != 0 {
 		a.Load = load / 1000
 	}
 }
 
 func (p proxy) tick(now time.Duration, f *benchwire.Fields) error {
-	token := choice.Token(f.U32())
+	token := choice.TimerToken(f.U32())
 	if err := f.End(); err != nil {
 		return err
 	}
-	p.balancer.Tick(now, token)
+	p.balancer.HandleTimer(now, token)
 	return nil
 }
 
 func (p proxy) settled(now time.Duration, f *benchwire.Fields) error {
-	id, dial, server := choice.SessionID(f.U32()), choice.DialNo(f.U16()), choice.ServerID(f.U32())
+	id, dial, server := choice.SessionID(f.U32()), choice.DialNumber(f.U16()), choice.ServerID(f.U32())
 	outcome, took, over := f.Outcome(), f.Duration(), f.U8() != 0
 	f.SkipLoadReport()
 	if err := f.End(); err != nil {
 		return err
 	}
-	p.balancer.Settled(now, id, dial, server, outcome, took, over)
+	p.balancer.HandleDialEnd(now, id, dial, server, outcome, took, over)
 	return nil
 }
 
 func (p proxy) opened(now time.Duration, f *benchwire.Fields) error {
 	id, server := choice.SessionID(f.U32()), choice.ServerID(f.U32())
-	dial, took := choice.DialNo(f.U16()), f.Duration()
+	dial, took := choice.DialNumber(f.U16()), f.Duration()
 	if err := f.End(); err != nil {
 		return err
 	}
-	p.balancer.Opened(now, id, server, dial, took)
+	p.balancer.HandleOpened(now, id, server, dial, took)
 	return nil
 }
 
@@ -123,6 +123,6 @@
 	if err := f.End(); err != nil {
 		return err
 	}
-	p.balancer.Left(now, id)
+	p.balancer.HandleClientGone(now, id)
 	return nil
 }
--- a/cmd/benchlink/front.go
+++ b/cmd/benchlink/front.go
@@ -21,18 +21,18 @@
 	f.reply.Refuse(f.instance, id, retryAfter)
 }
 
-func (f front) TearDown(id choice.SessionID) { f.reply.TearDown(f.instance, id) }
+func (f front) Abort(id choice.SessionID) { f.reply.TearDown(f.instance, id) }
 
 func (f front) Move(id choice.SessionID) { f.reply.Move(f.instance, id) }
 
-func (f front) Timer(after time.Duration, token choice.Token) {
+func (f front) StartTimer(after time.Duration, token choice.TimerToken) {
 	f.reply.Timer(f.instance, after, token)
 }
 
-func (f front) Tell(server choice.ServerID, delay time.Duration) {
+func (f front) PublishOverload(server choice.ServerID, delay time.Duration) {
 	f.reply.Publish(f.instance, server, delay)
 }
 
-func (f front) Watch() { f.reply.Watch(f.instance) }
+func (f front) SubscribeList() { f.reply.Watch(f.instance) }
 
 func (f front) Log(line string) { f.reply.Log(f.instance, line) }
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -114,10 +114,10 @@
 	var (
 		listeners []choice.Listener
 		dials     choice.DialLimits
-		budget    choice.DialBudget
-		list      choice.ListRules
-		cold      choice.ColdRule
-		messages  choice.WordRule
+		budget    choice.RetryBudget
+		list      choice.ListSettings
+		cold      choice.ColdSettings
+		messages  choice.PeerReportSettings
 	)
 	if err := start.Module(settings, &listeners, &dials, &budget, &list, &cold, &messages); err != nil {
 		return err
@@ -139,7 +139,7 @@
 		l.reply.Log(instance, fmt.Sprintf("a word from proxy %d is ignored: %v", from, err))
 		return nil
 	}
-	p.balancer.Told(now, server, delay)
+	p.balancer.ReceiveOverload(now, server, delay)
 	return nil
 }
 
@@ -149,6 +149,6 @@
 	if err := fields.End(); err != nil {
 		return err
 	}
-	p.balancer.List(now, kind, l.entries)
+	p.balancer.ApplyList(now, kind, l.entries)
 	return nil
 }
--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -245,12 +245,12 @@
 	}
 	for i := uint64(0); i < n && f.err == nil; i++ {
 		e := choice.Entry{Size: f.F32(), Cell: choice.CellID(f.U16()), Zone: choice.ZoneID(f.U16()),
-			ID: choice.ServerID(f.U32()), Standing: choice.Standing(f.U8()),
+			ID: choice.ServerID(f.U32()), Status: choice.ServerStatus(f.U8()),
 			Model: choice.ModelID(f.U16())}
 		since := f.Duration()
-		e.Started, e.Since = since != 0, since-start
-		if f.err == nil && e.Standing > choice.Draining {
-			f.err = fmt.Errorf("unknown standing %d", e.Standing)
+		e.StartKnown, e.StartedAt = since != 0, since-start
+		if f.err == nil && e.Status > choice.Draining {
+			f.err = fmt.Errorf("unknown standing %d", e.Status)
 		}
 		into = append(into, e)
 	}
--- a/internal/benchwire/reply.go
+++ b/internal/benchwire/reply.go
@@ -71,7 +71,7 @@
 }
 
 // Timer asks for a tick after a time.
-func (r *Reply) Timer(instance InstanceID, after time.Duration, token choice.Token) {
+func (r *Reply) Timer(instance InstanceID, after time.Duration, token choice.TimerToken) {
 	r.record(codeTimer, 14, instance)
 	r.duration(after)
 	r.u32(uint32(token))
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -208,9 +208,9 @@
 		return
 	}
 	a := choice.Arrival{Listener: listener, Tenant: tenant,
-		Left: opening.Left - opening.Left/64, // some of it is gone by now, and the answer needs some
-		Load: opening.Load / 1000, Client: choice.Key(line.Key(opening.Key)), MidFlow: opening.MidFlow,
-		Returned: opening.Returned}
+		TimeLeft: opening.Left - opening.Left/64, // some of it is gone by now, and the answer needs some
+		Load:     opening.Load / 1000, Client: choice.Key(line.Key(opening.Key)), MidFlow: opening.MidFlow,
+		Reconnected: opening.Returned}
 	if c.clients.groups {
 		a.Group = choice.Key(line.Key(opening.Group))
 	}
--- a/internal/exchange/delays.go
+++ b/internal/exchange/delays.go
@@ -99,7 +99,7 @@
 		return
 	}
 	d.servers[at] = noted{now, over}
-	d.balancer.DelayNoted(now, at, took)
+	d.balancer.RecordServerDelay(now, at, took)
 }
 
 // Waiting takes how long a message has been out.
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -199,16 +199,16 @@
 func (t *Table) Begin(client Client, a choice.Arrival, text []byte, holder choice.ServerID) *Exchange {
 	t.next++
 	a.ID = t.next
-	ex := &Exchange{table: t, arrival: a, text: slices.Clone(text), client: client, until: t.now() + a.Left}
+	ex := &Exchange{table: t, arrival: a, text: slices.Clone(text), client: client, until: t.now() + a.TimeLeft}
 	ex.opening, _ = line.ParseOpen(ex.text)
 	t.sessions[a.ID] = ex
 	if holder != 0 { // the module is told later, perhaps by other settings
-		ex.arrival.Under = t.balancer.Under(a.Listener)
+		ex.arrival.Settings = t.balancer.SessionSettings(a.Listener)
 		ex.state, ex.at = resuming, holder
 		ex.resume()
 		return ex
 	}
-	if err := t.balancer.Arrive(t.now(), a); err != nil { // only a fault of this program's own
+	if err := t.balancer.PlaceSession(t.now(), a); err != nil { // only a fault of this program's own
 		ex.enter(ended)
 		client.Answer([]byte("ERR\r\n"), "module")
 	}
@@ -266,7 +266,7 @@
 	t.answer(id, line.Busy(comeBack), "refused")
 }
 
-func (t *Table) TearDown(id choice.SessionID) { t.answer(id, []byte("ERR\r\n"), "torn-down") }
+func (t *Table) Abort(id choice.SessionID) { t.answer(id, []byte("ERR\r\n"), "torn-down") }
 
 func (t *Table) answer(id choice.SessionID, last []byte, reason string) {
 	if ex := t.sessions[id]; ex != nil {
@@ -291,7 +291,7 @@
 
 func (ex *Exchange) settled(outcome choice.Outcome, isOver bool) {
 	t := ex.table
-	t.balancer.Settled(t.now(), ex.arrival.ID, choice.DialNo(ex.dials-1), ex.at, outcome, t.now()-ex.dialedAt, isOver)
+	t.balancer.HandleDialEnd(t.now(), ex.arrival.ID, choice.DialNumber(ex.dials-1), ex.at, outcome, t.now()-ex.dialedAt, isOver)
 }
 
 // What the client side reads.
@@ -319,7 +319,7 @@
 		how = socket.Reset // a first line that this machine still holds must not follow the client's goodbye
 	}
 	if was != resuming {
-		ex.table.balancer.Left(ex.table.now(), ex.arrival.ID)
+		ex.table.balancer.HandleClientGone(ex.table.now(), ex.arrival.ID)
 	}
 	if was != placing && ex.server != nil {
 		ex.server.End(how, "client-left")
@@ -347,7 +347,7 @@
 
 // Goes tells whether the first line may still go to the server, whose connection stands now.
 func (ex *Exchange) Goes() bool {
-	return ex.state != dialing || ex.table.balancer.Goes(ex.table.now(), ex.arrival.ID)
+	return ex.state != dialing || ex.table.balancer.MaySend(ex.table.now(), ex.arrival.ID)
 }
 
 // What the server side reads.
@@ -363,11 +363,11 @@
 	switch ex.state {
 	case dialing:
 		ex.enter(open)
-		t.balancer.Opened(t.now(), ex.arrival.ID, ex.at, choice.DialNo(ex.dials-1), t.now()-ex.dialedAt)
+		t.balancer.HandleOpened(t.now(), ex.arrival.ID, ex.at, choice.DialNumber(ex.dials-1), t.now()-ex.dialedAt)
 	case resuming:
 		ex.enter(open)
 		ex.dials = 1
-		if err := t.balancer.Hold(t.now(), ex.arrival, ex.at); err != nil { // guards against a list without it
+		if err := t.balancer.AdoptSession(t.now(), ex.arrival, ex.at); err != nil { // guards against a list without it
 			ex.enter(ended)
 			ex.server.End(socket.Finished, "not-resumed")
 			ex.client.Answer([]byte("ERR\r\n"), "not-resumed")
@@ -382,7 +382,7 @@
 
 // Failed tells how a dial ended that brought no session up.
 func (ex *Exchange) Failed(outcome choice.Outcome) {
-	if outcome == choice.Unanswered || outcome == choice.Unreachable {
+	if outcome == choice.TimedOut || outcome == choice.Unreachable {
 		ex.table.suspect[ex.at] = ex.table.now()
 	}
 	switch ex.state {
@@ -440,11 +440,11 @@
 		ex.loadIs(ex.levels.load)
 	}
 	if isDelay {
-		t.balancer.DelayNoted(t.now(), ex.at, time.Duration(level*float64(time.Millisecond)))
+		t.balancer.RecordServerDelay(t.now(), ex.at, time.Duration(level*float64(time.Millisecond)))
 		return
 	}
 	if wait, may := t.delays.mayBe(&ex.levels, level); may {
-		t.balancer.DelayNoted(t.now(), ex.at, wait)
+		t.balancer.RecordServerDelay(t.now(), ex.at, wait)
 	}
 	ex.levels = levels{ex.levels.n + 1, t.now(), level, ex.levels.load}
 	ex.loadIs(level)
@@ -452,7 +452,7 @@
 
 // loadIs tells the module the load, in microseconds of work a second.
 func (ex *Exchange) loadIs(level float64) {
-	ex.table.balancer.LoadNoted(ex.table.now(), ex.arrival.ID, choice.DialNo(ex.dials-1), level/1e6)
+	ex.table.balancer.RecordSessionLoad(ex.table.now(), ex.arrival.ID, choice.DialNumber(ex.dials-1), level/1e6)
 }
 
 // ServerEnded tells that the server has ended an open session.
@@ -467,7 +467,7 @@
 		ex.client.End(how, reason)
 	}
 	if outcome == choice.Cancelled { // in the server's own words: it drains
-		ex.table.balancer.SentAway(ex.table.now(), ex.at)
+		ex.table.balancer.HandleDrainNotice(ex.table.now(), ex.at)
 	}
 	ex.settled(outcome, true)
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -127,11 +127,11 @@
 	r *rig
 }
 
-func (f front) Tell(choice.ServerID, time.Duration) {}
-func (f front) Watch()                              {}
-func (f front) Log(string)                          {}
-func (f front) Timer(after time.Duration, token choice.Token) {
-	f.r.due = append(f.r.due, alarm{f.r.now + after, func() { f.r.b.Tick(f.r.now, token) }})
+func (f front) PublishOverload(choice.ServerID, time.Duration) {}
+func (f front) SubscribeList()                                 {}
+func (f front) Log(string)                                     {}
+func (f front) StartTimer(after time.Duration, token choice.TimerToken) {
+	f.r.due = append(f.r.due, alarm{f.r.now + after, func() { f.r.b.HandleTimer(f.r.now, token) }})
 }
 
 func newRig(servers int) *rig {
@@ -141,15 +141,15 @@
 		50*ms, stillFor, NewDelays(33*ms, sec, true, true))
 	r.b = choice.New(front{r.Table, r}, rand.New(rand.NewSource(1)),
 		[]choice.Listener{{HandshakeTarget: 300 * ms, DialTimeout: 1200 * ms, MessageTarget: 100 * ms, Utility: 1}},
-		choice.DialLimits{MostDials: 3}, choice.DialBudget{}, choice.ListRules{MustWatch: true, MustAskIn: 10 * sec},
-		choice.ColdRule{Span: 20 * sec, From: 0.2, Multiple: 3, Window: 3 * sec, Proxies: 3},
-		choice.WordRule{})
+		choice.DialLimits{MaxDials: 3}, choice.RetryBudget{}, choice.ListSettings{NeedsSubscription: true, MaxPollInterval: 10 * sec},
+		choice.ColdSettings{RampDuration: 20 * sec, InitialShare: 0.2, OverloadMultiple: 3, OverloadWindow: 3 * sec, ProxyCount: 3},
+		choice.PeerReportSettings{})
 	r.Serve(r.b)
 	entries := []choice.Entry{}
 	for id := range servers {
-		entries = append(entries, choice.Entry{ID: choice.ServerID(id + 1), Size: 1, Standing: choice.Ready})
+		entries = append(entries, choice.Entry{ID: choice.ServerID(id + 1), Size: 1, Status: choice.Ready})
 	}
-	r.b.List(0, choice.ListFull, entries)
+	r.b.ApplyList(0, choice.ListFull, entries)
 	return r
 }
 
@@ -178,7 +178,7 @@
 	}
 	for _, d := range r.dials {
 		if !d.over && !d.up && d.until <= r.now {
-			r.end(d, choice.Unanswered)
+			r.end(d, choice.TimedOut)
 		}
 	}
 }
@@ -196,7 +196,7 @@
 	c := &client{r: r, until: r.now + 1200*ms}
 	r.clients = append(r.clients, c)
 	r.do(func() {
-		c.ex = r.Begin(c, choice.Arrival{Left: 1200 * ms, Client: choice.Key(len(r.clients))}, []byte(text), holder)
+		c.ex = r.Begin(c, choice.Arrival{TimeLeft: 1200 * ms, Client: choice.Key(len(r.clients))}, []byte(text), holder)
 	})
 	return c
 }
@@ -317,7 +317,7 @@
 	if want := "OPEN s0 1 c=x,d=400,g=7\r\n"; r.dials[0].first != want {
 		t.Errorf("%q, want %q", r.dials[0].first, want)
 	}
-	r.end(r.dials[0], choice.Full)
+	r.end(r.dials[0], choice.ServerFull)
 	o, err := line.ParseOpen([]byte(strings.TrimSpace(r.dials[1].first)))
 	if err != nil || o.Left != r.dials[1].until || r.dials[1].at == r.dials[0].at {
 		t.Errorf("%q to server %d after %d", r.dials[1].first, r.dials[1].at, r.dials[0].at)
--- a/internal/exchange/silence.go
+++ b/internal/exchange/silence.go
@@ -93,5 +93,5 @@
 			ex.move(choice.Cancelled, "still")
 		}
 	}
-	t.later(func() { t.balancer.DelayNoted(t.now(), at, waited) })
+	t.later(func() { t.balancer.RecordServerDelay(t.now(), at, waited) })
 }
--- a/internal/exchange/slopes_test.go
+++ b/internal/exchange/slopes_test.go
@@ -40,17 +40,17 @@
 	t := NewTable(dialer, func() time.Duration { return 0 }, func(func()) {}, func(time.Duration, func()) {}, sec, sec,
 		NewDelays(sec, sec, false, false))
 	listeners := []choice.Listener{{Name: "push", HandshakeTarget: sec, DialTimeout: 3 * sec, Utility: 1}}
-	balancer := choice.New(slopeFront{t}, rand.New(rand.NewSource(1)), listeners, choice.DialLimits{MostDials: 3}, choice.DialBudget{},
-		choice.ListRules{MustWatch: true, MustAskIn: 10 * sec}, choice.ColdRule{}, choice.WordRule{})
+	balancer := choice.New(slopeFront{t}, rand.New(rand.NewSource(1)), listeners, choice.DialLimits{MaxDials: 3}, choice.RetryBudget{},
+		choice.ListSettings{NeedsSubscription: true, MaxPollInterval: 10 * sec}, choice.ColdSettings{}, choice.PeerReportSettings{})
 	t.Serve(balancer)
 	entries := make([]choice.Entry, slopeServers)
 	for i := range entries {
-		entries[i] = choice.Entry{ID: choice.ServerID(i + 1), Size: 1, Standing: choice.Ready}
+		entries[i] = choice.Entry{ID: choice.ServerID(i + 1), Size: 1, Status: choice.Ready}
 	}
-	balancer.List(0, choice.ListFull, entries)
+	balancer.ApplyList(0, choice.ListFull, entries)
 	for i := range sessions {
 		text := fmt.Appendf(nil, "OPEN s%08d k%08d c=push,t=topic-%d,d=3000,g=%d", i, i, i%64, i/4)
-		t.Begin(idleSide{}, choice.Arrival{Client: choice.Key(i + 1), Group: choice.Key(i/4 + 1), Left: 3 * sec}, text, 0)
+		t.Begin(idleSide{}, choice.Arrival{Client: choice.Key(i + 1), Group: choice.Key(i/4 + 1), TimeLeft: 3 * sec}, text, 0)
 		dialer.latest.Opened([]byte("UP 1\r\n"))
 	}
 	if t.Open() != sessions {
@@ -62,10 +62,10 @@
 // slopeFront takes what the module says beside its dials.
 type slopeFront struct{ *Table }
 
-func (slopeFront) Tell(choice.ServerID, time.Duration) {}
-func (slopeFront) Watch()                              {}
-func (slopeFront) Timer(time.Duration, choice.Token)   {}
-func (slopeFront) Log(string)                          {}
+func (slopeFront) PublishOverload(choice.ServerID, time.Duration) {}
+func (slopeFront) SubscribeList()                                 {}
+func (slopeFront) StartTimer(time.Duration, choice.TimerToken)    {}
+func (slopeFront) Log(string)                                     {}
 
 func BenchmarkSlopeTableState(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20000, 50000, 85500} {
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -685,7 +685,7 @@
 	r.listed(1, member("s-1", "127.0.0.1:1", "draining"))
 	d.hear("PONG\r\n")
 	connect(t, r.at).say("PING\r\n", "PONG\r\n")
-	if again := r.p.terms.list.AskAgainIn; again != 150*time.Millisecond {
+	if again := r.p.terms.list.MaxRetryBackoff; again != 150*time.Millisecond {
 		t.Errorf("a watch that failed is back after %v", again)
 	}
 }
--- a/internal/proxy/directory.go
+++ b/internal/proxy/directory.go
@@ -28,7 +28,7 @@
 
 type place struct {
 	name, address string
-	standing      choice.Standing
+	standing      choice.ServerStatus
 	drained       bool          // before it was gone
 	upSinceMs     float64       // its latest start, as listed
 	since         time.Duration // the same, by the proxy's clock
@@ -94,13 +94,13 @@
 		}
 		switch s.Phase {
 		case discovery.Ready:
-			e.Standing = choice.Ready
+			e.Status = choice.Ready
 		case discovery.Draining:
-			e.Standing = choice.Draining
+			e.Status = choice.Draining
 		}
 		p := d.servers[id]
-		p.standing = e.Standing
-		p.drained = e.Standing == choice.Draining || p.drained && e.Standing == choice.Gone
+		p.standing = e.Status
+		p.drained = e.Status == choice.Draining || p.drained && e.Status == choice.Gone
 		if s.HostPort != "" && s.HostPort != p.address || s.UpSinceMs > 0 && s.UpSinceMs != p.upSinceMs {
 			p.edition++
 		}
@@ -111,7 +111,7 @@
 			p.upSinceMs, p.since = s.UpSinceMs, d.clock.since(s.UpSinceMs)
 		}
 		if s.UpSinceMs > 0 {
-			e.Started, e.Since = true, p.since
+			e.StartKnown, e.StartedAt = true, p.since
 		}
 		d.entries = append(d.entries, e)
 	}
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -108,10 +108,10 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if terms.list.AskAgainIn <= 0 || terms.ask <= 0 || terms.answer <= 0 {
+				if terms.list.MaxRetryBackoff <= 0 || terms.ask <= 0 || terms.answer <= 0 {
 					t.Errorf("%s, connects of %d ms, asking in %d ms: %+v", mode, connect, asking, terms.list)
 				}
-				if spent := terms.ask + 2*terms.list.AskAgainIn; spent > discovery.SilenceLimit*3/4 {
+				if spent := terms.ask + 2*terms.list.MaxRetryBackoff; spent > discovery.SilenceLimit*3/4 {
 					t.Errorf("%s, connects of %d ms, asking in %d ms: %v are spent before the next call", mode, connect, asking, spent)
 				}
 				if terms.answer >= discovery.SilenceLimit {
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -10,7 +10,7 @@
 
 // listenPeers opens the socket for messages of other proxies, where the settings allow any.
 func (p *Proxy) listenPeers(at start.Addresses, t *terms) (*peers.Peers, error) {
-	if !t.words.Allowed || at.PeerListen == "" {
+	if !t.words.Enabled || at.PeerListen == "" {
 		return nil, nil
 	}
 	end, err := peers.Listen(at.PeerListen, at.PeersAll, at.Peers, p.receivePeer)
@@ -28,5 +28,5 @@
 		p.log.Warn().Err(err).Msg("a word from another proxy is ignored")
 		return
 	}
-	p.execute(func() { p.balancer.Told(p.now(), at, delay) })
+	p.execute(func() { p.balancer.ReceiveOverload(p.now(), at, delay) })
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -146,7 +146,7 @@
 	t := p.terms
 	p.timers = timers.New(p.now, p.wake)
 	p.connectionLimit = socket.NewConnectionLimit(p.limits.Sockets - keptSockets)
-	p.directory = newDirectory(t.zones, startClock{began: p.start, now: p.now, wall: time.Now}, t.list.DrainsBindAlone, t.models)
+	p.directory = newDirectory(t.zones, startClock{began: p.start, now: p.now, wall: time.Now}, t.list.OnlyDrainsExclude, t.models)
 	p.connector = servers.NewConnector(p.execute, p.connectionLimit, p.take, t.connect, p.failures)
 	dialer := servers.New(p.connector, p.directory, p.timers, p.connectionLimit, p.now, p.whenListIsKnown, p.log)
 	after := func(d time.Duration, call func()) { p.timers.After(d, call) }
@@ -183,7 +183,7 @@
 		p.clients.DelayPings()
 		p.timers.After(discovery.SilenceLimit/2, p.clients.AnswerPings) // a discovery that says nothing must not keep it out
 	}
-	p.balancer.List(p.now(), choice.ListCached, p.directory.entriesOf(known))
+	p.balancer.ApplyList(p.now(), choice.ListCached, p.directory.entriesOf(known))
 	p.sweep()
 	if p.share != nil {
 		p.shareHeld()
@@ -302,16 +302,16 @@
 	p *Proxy
 }
 
-func (f front) Tell(at choice.ServerID, delay time.Duration) {
+func (f front) PublishOverload(at choice.ServerID, delay time.Duration) {
 	if f.p.peers != nil {
 		f.p.peers.Send(benchwire.AppendWord(nil, at, delay))
 	}
 }
 
-func (f front) Timer(after time.Duration, token choice.Token) {
-	f.p.timers.After(after, func() { f.p.balancer.Tick(f.p.now(), token) })
+func (f front) StartTimer(after time.Duration, token choice.TimerToken) {
+	f.p.timers.After(after, func() { f.p.balancer.HandleTimer(f.p.now(), token) })
 }
 
-func (f front) Watch() { f.p.watcher.Watch(f.p.revision) }
+func (f front) SubscribeList() { f.p.watcher.Watch(f.p.revision) }
 
 func (f front) Log(text string) { f.p.log.Info().Str("from", "choice").Msg(f.p.directory.named(text)) }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -55,7 +55,7 @@
 			// Asked at once: that the watch at hand ends may take long, and so may the pause after one that failed.
 			p.at.Discovery, p.failed = next.at.Discovery, 0
 			p.watcher.Move(next.at.Discovery)
-			p.balancer.Afresh(p.now())
+			p.balancer.ResubscribeList(p.now())
 		}
 		p.log.Info().Str("discovery", p.at.Discovery).Bool("settings", settings).Strs("at_next_start", differ).
 			Msg("configuration read again")
@@ -71,13 +71,13 @@
 	p.connector.Change(t.connect)
 	p.table.Change(t.connect, t.still, t.mark, t.tellsLoad, t.tellsDelay)
 	p.clients.Change(t.hello, t.listenerIDs, t.tenantIDs, t.groups)
-	p.directory.change(t.zones, t.list.DrainsBindAlone, t.models)
+	p.directory.change(t.zones, t.list.OnlyDrainsExclude, t.models)
 	p.watcher.Change(t.ask, t.answer)
-	if !t.words.Allowed && p.peers != nil {
+	if !t.words.Enabled && p.peers != nil {
 		p.peers.Close()
 		p.peers = nil
 	}
-	p.balancer.Switch(p.now(), t.listeners, t.dials, t.budget, t.list, t.cold, t.words)
+	p.balancer.Reconfigure(p.now(), t.listeners, t.dials, t.budget, t.list, t.cold, t.words)
 }
 
 // changed names the parts of a configuration that differ and are read at a start only. The list of servers that
--- a/internal/proxy/slopes_test.go
+++ b/internal/proxy/slopes_test.go
@@ -143,10 +143,10 @@
 	p.balancer = choice.New(slopeFront{front{p.table, p}}, rand.New(rand.NewSource(1)), p.terms.listeners, p.terms.dials, p.terms.budget,
 		p.terms.list, p.terms.cold, p.terms.words)
 	p.table.Serve(p.balancer)
-	p.balancer.List(0, choice.ListFull, p.directory.entriesOf(slopeList(servers)))
+	p.balancer.ApplyList(0, choice.ListFull, p.directory.entriesOf(slopeList(servers)))
 	for i := range sessions {
 		text := fmt.Appendf(nil, "OPEN s%d k%d c=chat,t=topic-%d,d=800", i, i, i%slopeTenants)
-		p.table.Begin(silentSide{}, choice.Arrival{Client: choice.Key(i + 1), Group: choice.Key(i/4 + 1), Left: time.Second}, text, 0)
+		p.table.Begin(silentSide{}, choice.Arrival{Client: choice.Key(i + 1), Group: choice.Key(i/4 + 1), TimeLeft: time.Second}, text, 0)
 		dialer.latest.Opened([]byte("UP 1\r\n"))
 	}
 	if p.table.Open() != sessions {
@@ -158,8 +158,8 @@
 // slopeFront is the proxy's without its watch and timers, which would need the loop.
 type slopeFront struct{ front }
 
-func (slopeFront) Watch()                            {}
-func (slopeFront) Timer(time.Duration, choice.Token) {}
+func (slopeFront) SubscribeList()                              {}
+func (slopeFront) StartTimer(time.Duration, choice.TimerToken) {}
 
 var slopeOpen = []int{1000, 5000, 20000, 50000, 85500}
 
--- a/internal/proxy/starttime_test.go
+++ b/internal/proxy/starttime_test.go
@@ -40,7 +40,7 @@
 			list := func(servers ...discovery.Server) map[string]time.Duration {
 				ages := map[string]time.Duration{}
 				for i, e := range d.entriesOf(discovery.List{Complete: true, Servers: servers}) {
-					ages[servers[i].ID] = now - e.Since
+					ages[servers[i].ID] = now - e.StartedAt
 				}
 				return ages
 			}
--- a/internal/proxy/terms.go
+++ b/internal/proxy/terms.go
@@ -21,10 +21,10 @@
 type terms struct {
 	listeners []choice.Listener
 	dials     choice.DialLimits
-	budget    choice.DialBudget
-	list      choice.ListRules
-	cold      choice.ColdRule
-	words     choice.WordRule
+	budget    choice.RetryBudget
+	list      choice.ListSettings
+	cold      choice.ColdSettings
+	words     choice.PeerReportSettings
 
 	listenerIDs    map[string]choice.ListenerID
 	tenantIDs      map[string]choice.TenantID
@@ -73,15 +73,15 @@
 		t.still = min(t.still, 2*longest) // a line later than that is of no use to any listener
 	}
 	// A real list must be watched, also where the bench hands it out.
-	t.pushed, t.list.MustWatch = !t.list.MustWatch, true
-	if t.list.MustAskIn == 0 { // no asking is asked for; calls may wait their turn all the same
-		t.list.MustAskIn = max(4*t.patience, 2*longestAnswer)
+	t.pushed, t.list.NeedsSubscription = !t.list.NeedsSubscription, true
+	if t.list.MaxPollInterval == 0 { // no asking is asked for; calls may wait their turn all the same
+		t.list.MaxPollInterval = max(4*t.patience, 2*longestAnswer)
 	}
-	t.answer = min(t.list.MustAskIn/2, longestAnswer) // the module asks anew after that half, too
-	if t.list.AskAgainIn == 0 {
-		t.list.AskAgainIn = t.list.MustAskIn / 4
+	t.answer = min(t.list.MaxPollInterval/2, longestAnswer) // the module asks anew after that half, too
+	if t.list.MaxRetryBackoff == 0 {
+		t.list.MaxRetryBackoff = t.list.MaxPollInterval / 4
 	}
-	t.list.AskAgainIn = min(t.list.AskAgainIn, longestPause/2) // the module's longest pause is twice that
+	t.list.MaxRetryBackoff = min(t.list.MaxRetryBackoff, longestPause/2) // the module's longest pause is twice that
 	t.ask = min(2*t.connect, longestAsk)
 	return t, nil
 }
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -21,7 +21,7 @@
 	if list.Complete {
 		kind = choice.ListFull
 	}
-	p.balancer.List(p.now(), kind, p.directory.entriesOf(list))
+	p.balancer.ApplyList(p.now(), kind, p.directory.entriesOf(list))
 	p.directory.eachGone(p.table.Forget)
 	ready, draining := p.directory.count()
 	p.log.Info().Uint64("revision", list.Revision).Bool("complete", list.Complete).Int("entries", len(list.Servers)).
@@ -40,9 +40,9 @@
 	case errors.Is(err, discovery.ErrUnopened):
 		p.watcher.Watch(p.revision)
 	case errors.Is(err, discovery.ErrUnanswered): // it has waited long enough
-		p.balancer.Afresh(p.now())
+		p.balancer.ResubscribeList(p.now())
 	default:
-		p.balancer.List(p.now(), choice.ListFailed, nil)
+		p.balancer.ApplyList(p.now(), choice.ListFailed, nil)
 	}
 	p.clients.AnswerPings() // nothing more is known to wait for
 }
--- a/internal/scale/member.go
+++ b/internal/scale/member.go
@@ -125,10 +125,10 @@
 	var (
 		listeners []choice.Listener
 		dials     choice.DialLimits
-		budget    choice.DialBudget
-		list      choice.ListRules
-		cold      choice.ColdRule
-		words     choice.WordRule
+		budget    choice.RetryBudget
+		list      choice.ListSettings
+		cold      choice.ColdSettings
+		words     choice.PeerReportSettings
 		connect   time.Duration
 
 		passes, groups      bool
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -211,7 +211,7 @@
 		d.fail(choice.Unreachable, socket.Reset, "unreachable")
 	case d.state == asked:
 		// Reset, as what this machine still holds for a server that is cut off would reach it once it is back.
-		d.fail(choice.Unanswered, socket.Reset, "unanswered")
+		d.fail(choice.TimedOut, socket.Reset, "unanswered")
 	}
 }
 
@@ -287,7 +287,7 @@
 		d.servers.timers.Stop(d.limit)
 		d.ex.Opened(whole)
 	case "BUSY":
-		d.fail(choice.Full, socket.Finished, "full")
+		d.fail(choice.ServerFull, socket.Finished, "full")
 	case "BYE":
 		d.End(socket.Finished, "ended")
 		d.ex.Ended(whole)
@@ -307,7 +307,7 @@
 	for {
 		text, size, err := line.Next(buf[used:])
 		if err != nil {
-			d.gone(choice.Broken, socket.Reset, "malformed")
+			d.gone(choice.ConnectionLost, socket.Reset, "malformed")
 			return len(buf)
 		}
 		if size == 0 {
@@ -349,13 +349,13 @@
 	case d.state == asked && d.conn.Unsent() > 0: // the line's last byte was never written
 		d.fail(choice.Unreachable, how, "unreachable")
 	case d.state == asked:
-		d.fail(choice.Broken, how, "broken")
+		d.fail(choice.ConnectionLost, how, "broken")
 	case d.state == up && d.parting == choice.Accepted:
 		d.gone(choice.Accepted, afterLastLine(how), "ended")
 	case d.state == up && d.parting == choice.Cancelled:
 		d.gone(choice.Cancelled, afterLastLine(how), "sent-away")
 	case d.state == up:
-		d.gone(choice.Broken, how, "broken")
+		d.gone(choice.ConnectionLost, how, "broken")
 	}
 }
 
--- a/internal/start/slopes_test.go
+++ b/internal/start/slopes_test.go
@@ -32,10 +32,10 @@
 				var (
 					listeners []choice.Listener
 					dials     choice.DialLimits
-					budget    choice.DialBudget
-					list      choice.ListRules
-					cold      choice.ColdRule
-					words     choice.WordRule
+					budget    choice.RetryBudget
+					list      choice.ListSettings
+					cold      choice.ColdSettings
+					words     choice.PeerReportSettings
 				)
 				if err := Module(text, &listeners, &dials, &budget, &list, &cold, &words); err != nil {
 					b.Fatal(err)
--- a/internal/start/start.go
+++ b/internal/start/start.go
@@ -55,8 +55,8 @@
 }
 
 // Module takes from the text of the settings what the named parts of the module want.
-func Module(text []byte, listeners *[]choice.Listener, dials *choice.DialLimits, budget *choice.DialBudget,
-	list *choice.ListRules, cold *choice.ColdRule, words *choice.WordRule) error {
+func Module(text []byte, listeners *[]choice.Listener, dials *choice.DialLimits, budget *choice.RetryBudget,
+	list *choice.ListSettings, cold *choice.ColdSettings, words *choice.PeerReportSettings) error {
 	var settings moduleSettings
 	if err := json.Unmarshal(text, &settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -79,8 +79,8 @@
 	}
 	*list = settings.listRules(&spans)
 	*cold = settings.coldRule(&spans)
-	*words = choice.WordRule{Allowed: settings.Ceilings.Peers,
-		Price: settings.Penalties.Peer * benchwire.WordSize / benchwire.FullMessage}
+	*words = choice.PeerReportSettings{Enabled: settings.Ceilings.Peers,
+		CostPerMessage: settings.Penalties.Peer * benchwire.WordSize / benchwire.FullMessage}
 	if spans.err != nil {
 		return spans.err
 	}
@@ -122,24 +122,24 @@
 		Name:            l.Name,
 		HandshakeTarget: spans.span(field("handshakeTarget"), l.HandshakeTarget),
 		DialTimeout:     spans.span(field("dialTimeout"), l.DialTimeout),
-		RepeatWindow:    spans.span(field("repeatWindow"), l.RepeatWindow),
+		DedupWindow:     spans.span(field("repeatWindow"), l.RepeatWindow),
 		Utility:         l.Utility,
 	}
 	switch l.Effect {
 	case "read_like":
 	case "idempotency_key":
-		listener.Effect = choice.Referenced
+		listener.Idempotency = choice.IdempotencyKeyed
 	case "non_idempotent":
-		listener.Effect = choice.OnceOnly
+		listener.Idempotency = choice.NonIdempotent
 	default:
 		return listener, fmt.Errorf("settings: unknown effect %q", l.Effect)
 	}
 	switch l.Group {
 	case "", "all":
 	case "zone":
-		listener.Group = choice.GroupZone
+		listener.DedupScope = choice.DedupZone
 	case "cell":
-		listener.Group = choice.GroupCell
+		listener.DedupScope = choice.DedupCell
 	default:
 		return listener, fmt.Errorf("settings: unknown group %q", l.Group)
 	}
@@ -147,52 +147,52 @@
 }
 
 func (s *moduleSettings) dialLimits(spans *spanReader) choice.DialLimits {
-	limits := choice.DialLimits{MostDials: max(s.Ceilings.MostDials, 1)}
+	limits := choice.DialLimits{MaxDials: max(s.Ceilings.MostDials, 1)}
 	if s.Ceilings.RetryAfter {
-		limits.MaxComeBack = spans.span("ceilings.maxRetryAfter", s.Ceilings.MaxRetryAfter)
+		limits.MaxRetryAfter = spans.span("ceilings.maxRetryAfter", s.Ceilings.MaxRetryAfter)
 	}
 	return limits
 }
 
-func (s *moduleSettings) listRules(spans *spanReader) choice.ListRules {
-	rules := choice.ListRules{
-		MustWatch:       s.Discovery == "ask",
-		MustAskIn:       spans.span("invariants.mustAskIn", s.Invariants.MustAskIn),
-		DrainsBindAlone: s.Invariants.DrainsAlone,
+func (s *moduleSettings) listRules(spans *spanReader) choice.ListSettings {
+	rules := choice.ListSettings{
+		NeedsSubscription: s.Discovery == "ask",
+		MaxPollInterval:   spans.span("invariants.mustAskIn", s.Invariants.MustAskIn),
+		OnlyDrainsExclude: s.Invariants.DrainsAlone,
 	}
-	if !rules.MustWatch { // what is pushed counts as told, whether or not a watch is open: a broken one is back by then
-		rules.AskAgainIn = spans.span("invariants.stopSendingWithin", s.Invariants.StopSending) / 2
+	if !rules.NeedsSubscription { // what is pushed counts as told, whether or not a watch is open: a broken one is back by then
+		rules.MaxRetryBackoff = spans.span("invariants.stopSendingWithin", s.Invariants.StopSending) / 2
 	}
 	return rules
 }
 
-func (s *moduleSettings) coldRule(spans *spanReader) choice.ColdRule {
-	return choice.ColdRule{
-		Span:     spans.span("invariants.cold", s.Invariants.Cold),
-		From:     s.Invariants.ColdFrom,
-		Multiple: s.Invariants.FallMultiple,
-		Window:   spans.span("invariants.tipAfter", s.Invariants.TipAfter),
-		Proxies:  max(s.GroupSize, 1),
-		Me:       s.Me,
+func (s *moduleSettings) coldRule(spans *spanReader) choice.ColdSettings {
+	return choice.ColdSettings{
+		RampDuration:     spans.span("invariants.cold", s.Invariants.Cold),
+		InitialShare:     s.Invariants.ColdFrom,
+		OverloadMultiple: s.Invariants.FallMultiple,
+		OverloadWindow:   spans.span("invariants.tipAfter", s.Invariants.TipAfter),
+		ProxyCount:       max(s.GroupSize, 1),
+		ProxyIndex:       s.Me,
 	}
 }
 
 // check refuses values that are out of range or don't go together.
-func (s *moduleSettings) check(listeners []choice.Listener, list choice.ListRules, cold choice.ColdRule) error {
+func (s *moduleSettings) check(listeners []choice.Listener, list choice.ListSettings, cold choice.ColdSettings) error {
 	switch {
 	case s.Penalties.Peer < 0:
 		return fmt.Errorf("settings: penalties.peer is %v, below 0", s.Penalties.Peer)
 	case s.GroupSize < 0:
 		return fmt.Errorf("settings: groupSize is %d, below 0", s.GroupSize)
-	case s.Me < 0 || s.Me >= cold.Proxies:
-		return fmt.Errorf("settings: me is %d of %d proxies", s.Me, cold.Proxies)
-	case cold.Multiple < 0:
-		return fmt.Errorf("settings: fallMultiple is %v, below 0", cold.Multiple)
-	case cold.Span > 0 && cold.Window == 0:
+	case s.Me < 0 || s.Me >= cold.ProxyCount:
+		return fmt.Errorf("settings: me is %d of %d proxies", s.Me, cold.ProxyCount)
+	case cold.OverloadMultiple < 0:
+		return fmt.Errorf("settings: fallMultiple is %v, below 0", cold.OverloadMultiple)
+	case cold.RampDuration > 0 && cold.OverloadWindow == 0:
 		return fmt.Errorf("settings: tipAfter is 0")
-	case cold.From <= 0 && cold.Span > 0 || cold.From > 1:
-		return fmt.Errorf("settings: coldFrom is %v, no share", cold.From)
-	case list.MustWatch && list.MustAskIn == 0:
+	case cold.InitialShare <= 0 && cold.RampDuration > 0 || cold.InitialShare > 1:
+		return fmt.Errorf("settings: coldFrom is %v, no share", cold.InitialShare)
+	case list.NeedsSubscription && list.MaxPollInterval == 0:
 		return fmt.Errorf("settings: discovery by asking without mustAskIn")
 	}
 	for i, l := range listeners {
@@ -204,9 +204,9 @@
 }
 
 // furtherDials takes the budget of dials beyond each session's first: stated whole, or not at all.
-func furtherDials(free, ratio, window *float64, budget *choice.DialBudget) error {
+func furtherDials(free, ratio, window *float64, budget *choice.RetryBudget) error {
 	if free == nil && ratio == nil && window == nil {
-		*budget = choice.DialBudget{}
+		*budget = choice.RetryBudget{}
 		return nil
 	}
 	for _, of := range []struct {
@@ -224,7 +224,7 @@
 	if err != nil || span == 0 {
 		return fmt.Errorf("settings: budgetWindow is %v, out of range", *window)
 	}
-	*budget = choice.DialBudget{Free: *free, Share: *ratio, Window: span}
+	*budget = choice.RetryBudget{FreeRetries: *free, RetriesPerSession: *ratio, Window: span}
 	return nil
 }
 
--- a/internal/start/start_test.go
+++ b/internal/start/start_test.go
@@ -19,7 +19,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
-		if list.DrainsBindAlone != alone || cold.Proxies != 3 || cold.Me != 2 {
+		if list.OnlyDrainsExclude != alone || cold.ProxyCount != 3 || cold.ProxyIndex != 2 {
 			t.Errorf("%s: %+v %+v", text, list, cold)
 		}
 	}
@@ -51,11 +51,11 @@
 }
 
 // module reads the parts that the tests look at.
-func module(text string) (budget choice.DialBudget, list choice.ListRules, cold choice.ColdRule, err error) {
+func module(text string) (budget choice.RetryBudget, list choice.ListSettings, cold choice.ColdSettings, err error) {
 	var (
 		listeners []choice.Listener
 		dials     choice.DialLimits
-		words     choice.WordRule
+		words     choice.PeerReportSettings
 	)
 	err = Module([]byte(text), &listeners, &dials, &budget, &list, &cold, &words)
 	return budget, list, cold, err
