--- a/internal/aggregation/aggregator.go
+++ b/internal/aggregation/aggregator.go
@@ -5,60 +5,61 @@
 	"time"
 )
 
-// Aggregator adds up what the members of its region report, and takes the sums of the other regions from their
-// aggregators.
+// Aggregator sums the values that the members of its region report, and adds the sums over the other regions as
+// received from their aggregators.
 type Aggregator struct {
-	config      AggregatorConfig
-	startedAt   time.Duration
-	guard       stallGuard
-	dictionary  *dictionary
-	membership  *membership
-	peers       []*peerSource // in the order of the configuration
-	regions     []*region     // in the order of their names
-	regionTable *outbox       // sums over the own region
-	fleetTable  *outbox       // sums over all regions
-	fleetSums   []uint64      // scratch space, by index of the dictionary
-	heartbeat   uint64
-	sweptAt     time.Duration // when the dictionary was full last and room was made
-	counters    Counters
-}
-
-// NewAggregator returns an aggregator that knows no member.
+	config          AggregatorConfig
+	startedAt       time.Duration
+	stallDetector   stallDetector
+	dictionary      *dictionary
+	membership      *membership
+	peers           []*peerSource // in configuration order
+	regions         []*region     // sorted by name
+	regionTable     *sendTable    // sums over the own region
+	fleetTable      *sendTable    // sums over all regions
+	fleetSums       []uint64      // scratch buffer, by dictionary index
+	latestHeartbeat uint64
+	zerosDroppedAt  time.Duration // when keys with value 0 were last dropped because the dictionary was full
+	counters        Counters
+}
+
+// NewAggregator returns an aggregator that knows no member. It returns a *ConfigError if the configuration is invalid.
 func NewAggregator(now time.Duration, config AggregatorConfig) (*Aggregator, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
 	dictionary := newDictionary(config.MaxKeys)
 	a := &Aggregator{
-		config:      config,
-		startedAt:   now,
-		guard:       newStallGuard(now, config.Freshness),
-		dictionary:  dictionary,
-		membership:  newMembership(&config, dictionary),
-		regionTable: newOutbox(dictionary, config.MaxKeys, config.ChangeShare),
-		fleetTable:  newOutbox(dictionary, config.MaxKeys, config.ChangeShare),
-		sweptAt:     now,
+		config:         config,
+		startedAt:      now,
+		stallDetector:  newStallDetector(now, config.Freshness),
+		dictionary:     dictionary,
+		membership:     newMembership(&config, dictionary),
+		regionTable:    newSendTable(dictionary, config.MaxKeys, config.ChangeShare),
+		fleetTable:     newSendTable(dictionary, config.MaxKeys, config.ChangeShare),
+		zerosDroppedAt: now,
 	}
 	for _, peer := range config.Peers {
-		table := inbox[uint64]{dictionary: dictionary, max: config.MaxKeys}
+		table := receiveTable[uint64]{dictionary: dictionary, maxKeys: config.MaxKeys}
 		a.peers = append(a.peers, &peerSource{peer: peer, table: table})
 	}
 	a.regions = newRegions(&config, a.peers)
 	return a, nil
 }
 
-// advance takes the time of a call, and does what is due by then.
+// advance processes the time of a call: it updates the members' weights and, if the dictionary is full, drops keys with
+// value 0 at most once per freshness period. It returns a time that never goes back.
 func (a *Aggregator) advance(now time.Duration) time.Duration {
-	now = a.guard.advance(now)
+	now = a.stallDetector.advance(now)
 	a.membership.advance(now)
-	if len(a.dictionary.index) >= a.dictionary.max && now-a.sweptAt >= a.config.Freshness {
-		a.sweptAt = now
+	if len(a.dictionary.indexes) >= a.dictionary.maxKeys && now-a.zerosDroppedAt >= a.config.Freshness {
+		a.zerosDroppedAt = now
 		a.dropZeros()
 	}
 	return now
 }
 
-// dropZeros makes room in the dictionary: keys that are 0 go first.
+// dropZeros drops the keys with value 0 from all tables, to make room in the dictionary.
 func (a *Aggregator) dropZeros() {
 	a.membership.dropZeros()
 	for _, peer := range a.peers {
@@ -68,21 +69,21 @@
 	a.fleetTable.removeZeros()
 }
 
-// ReceiveReport takes a report. The refusal, if there is one, is to be sent to where the report came from.
+// ReceiveReport processes a report. A refusal, if not nil, is to be sent to the sender of the report.
 func (a *Aggregator) ReceiveReport(now time.Duration, report Report) (Outcome, *Refusal) {
 	a.advance(now)
 	if !validReport(&report) {
 		return a.counters.count(Malformed), nil
 	}
-	outcome, dropped, known := a.membership.receive(&report, a.guard.receivedAt())
-	a.counters.Keys += uint64(dropped)
+	outcome, dropped, knownIncarnation := a.membership.receive(&report, a.stallDetector.receiveTime())
+	a.counters.DroppedEntries += uint64(dropped)
 	if outcome != Refused {
 		return a.counters.count(outcome), nil
 	}
-	return a.counters.count(outcome), &Refusal{Aggregator: a.config.ID, Member: report.Member, Incarnation: known}
+	return a.counters.count(outcome), &Refusal{Aggregator: a.config.ID, Member: report.Member, Incarnation: knownIncarnation}
 }
 
-// ReceiveRegionSum takes a part of another aggregator's region sum.
+// ReceiveRegionSum processes a datagram of another aggregator's region sums.
 func (a *Aggregator) ReceiveRegionSum(now time.Duration, sum RegionSum) Outcome {
 	a.advance(now)
 	peer := a.findPeer(sum.Aggregator)
@@ -92,8 +93,8 @@
 	case !validRegionSum(&sum):
 		return a.counters.count(Malformed)
 	}
-	outcome, dropped := peer.receive(&sum, a.guard.receivedAt())
-	a.counters.Keys += uint64(dropped)
+	outcome, dropped := peer.receive(&sum, a.stallDetector.receiveTime())
+	a.counters.DroppedEntries += uint64(dropped)
 	return a.counters.count(outcome)
 }
 
@@ -106,14 +107,14 @@
 	return nil
 }
 
-// RegionSum returns the next datagram of the own region's sums, the same for all peers. It is called at a constant
-// rate.
+// RegionSum returns the next datagram of the own region's sums, the same for all peers. The caller calls it at a
+// constant rate.
 func (a *Aggregator) RegionSum(now time.Duration) RegionSum {
 	now = a.advance(now)
-	for index := range uint32(a.dictionary.size()) {
+	for index := range uint32(a.dictionary.indexLimit()) {
 		a.regionTable.setIndex(index, a.membership.sums.value(index, now))
 	}
-	batch := a.regionTable.next(regionSumBudget(a.config.Region))
+	batch := a.regionTable.nextBatch(regionSumBudget(a.config.Region))
 	summary := a.summary(now)
 	return RegionSum{
 		Aggregator:  a.config.ID,
@@ -122,8 +123,8 @@
 		Number:      batch.number,
 		Since:       batch.since,
 		Members:     summary.members,
-		Heard:       summary.share(),
-		Age:         boundedAge(now - summary.asOf),
+		Heard:       summary.heardShare(),
+		Age:         clampAge(now - summary.asOf),
 		Slack:       min(summary.slack+batch.slack, maxSumValue),
 		Fading:      summary.fading,
 		Keys:        batch.keys,
@@ -131,50 +132,50 @@
 	}
 }
 
-// Digest returns the next datagram of the fleet's sums, the same for all subscribed members. It is called at a constant
-// rate.
+// Digest returns the next datagram of the fleet's sums, the same for all subscribed members. The caller calls it at a
+// constant rate.
 func (a *Aggregator) Digest(now time.Duration) Digest {
 	now = a.advance(now)
-	digest := a.digestHead(now)
-	a.addUpFleet(now)
+	digest := a.newDigestHeader(now)
+	a.sumFleet(now)
 	for index, value := range a.fleetSums {
 		a.fleetTable.setIndex(uint32(index), value)
 	}
-	batch := a.fleetTable.next(digestBudget(a.config.Region, digest.Regions))
+	batch := a.fleetTable.nextBatch(digestBudget(a.config.Region, digest.Regions))
 	digest.Number, digest.Since = batch.number, batch.since
 	digest.Keys, digest.Slack, digest.Entries = batch.keys, batch.slack, batch.entries
 	return digest
 }
 
-// Heartbeat returns the head of a digest without entries, for all members.
+// Heartbeat returns a digest without entries, for all members whether they subscribe or not.
 func (a *Aggregator) Heartbeat(now time.Duration) Digest {
-	heartbeat := a.digestHead(a.advance(now))
-	heartbeat.Number = uint64(a.fleetTable.number)
-	heartbeat.Since = uint64(a.fleetTable.turnStarts[turnsKept])
-	heartbeat.Keys, heartbeat.Slack = a.fleetTable.unsent()
+	heartbeat := a.newDigestHeader(a.advance(now))
+	heartbeat.Number = uint64(a.fleetTable.latestNumber)
+	heartbeat.Since = uint64(a.fleetTable.turnStarts[retainedTurns])
+	heartbeat.Keys, heartbeat.Slack = a.fleetTable.nonzeroKeysAndSlack()
 	return heartbeat
 }
 
-// digestHead returns what a digest and a heartbeat have in common.
-func (a *Aggregator) digestHead(now time.Duration) Digest {
-	a.heartbeat++
+// newDigestHeader returns the fields that digests and heartbeats have in common, and chooses the regions' sources.
+func (a *Aggregator) newDigestHeader(now time.Duration) Digest {
+	a.latestHeartbeat++
 	return Digest{
 		Aggregator:  a.config.ID,
 		Region:      a.config.Region,
 		Incarnation: a.config.Incarnation,
-		Heartbeat:   a.heartbeat,
+		Heartbeat:   a.latestHeartbeat,
 		Regions:     a.chooseSources(now),
 	}
 }
 
-// addUpFleet adds up one source of each region.
-func (a *Aggregator) addUpFleet(now time.Duration) {
-	a.fleetSums = slices.Grow(a.fleetSums[:0], a.dictionary.size())[:a.dictionary.size()]
+// sumFleet fills fleetSums with the sums over one source of each region.
+func (a *Aggregator) sumFleet(now time.Duration) {
+	a.fleetSums = slices.Grow(a.fleetSums[:0], a.dictionary.indexLimit())[:a.dictionary.indexLimit()]
 	clear(a.fleetSums)
 	for _, region := range a.regions {
-		if region.usesOwn() {
+		if region.usesOwnSums() {
 			a.addOwnSums(now)
-		} else if source := region.source(); source != nil {
+		} else if source := region.peerInUse(); source != nil {
 			a.addPeerSums(source, now)
 		}
 	}
@@ -186,42 +187,44 @@
 	}
 }
 
+// addPeerSums adds a peer's sums to fleetSums, scaled by the peer's weight.
 func (a *Aggregator) addPeerSums(source *peerSource, now time.Duration) {
-	share := a.weight(source, now)
-	if share == 0 {
+	weight := a.sourceWeight(source, now)
+	if weight == 0 {
 		return
 	}
 	for _, entry := range source.table.entries {
-		a.fleetSums[entry.index] += weighted(entry.value, share)
+		a.fleetSums[entry.index] += applyWeight(entry.value, weight)
 	}
 }
 
-func (a *Aggregator) weight(source *peerSource, now time.Duration) float64 {
+// sourceWeight returns the weight of a peer's sums by their age; 0 if it was never heard.
+func (a *Aggregator) sourceWeight(source *peerSource, now time.Duration) float64 {
 	if !source.known {
 		return 0
 	}
-	return weight(now-source.heardAt, a.config.Freshness, a.config.Decay)
+	return ageWeight(now-source.heardAt, a.config.Freshness, a.config.Decay)
 }
 
-// Subscribed tells whether a member that is still known asked this aggregator for digests.
+// Subscribed reports whether a member that is still known asked this aggregator for digests.
 func (a *Aggregator) Subscribed(now time.Duration, id MemberID) bool {
 	a.advance(now)
 	record := a.membership.members[id]
-	return record != nil && record.subscribe == a.config.ID
+	return record != nil && record.subscribedTo == a.config.ID
 }
 
-// KnownMember tells whether a member counts, in full or in part.
+// KnownMember reports whether a member still counts, in full or in part.
 func (a *Aggregator) KnownMember(now time.Duration, id MemberID) bool {
 	a.advance(now)
 	return a.membership.members[id] != nil
 }
 
-// Keys returns the keys of the fleet's sums, in order.
-func (a *Aggregator) Keys() []Key { return a.dictionary.sorted() }
+// Keys returns the keys of the fleet's sums, sorted.
+func (a *Aggregator) Keys() []Key { return a.dictionary.sortedKeys() }
 
-// Counters returns what became of the datagrams and what was dropped.
+// Counters returns the counts since the start.
 func (a *Aggregator) Counters() Counters {
 	counters := a.counters
-	counters.Stalls = a.guard.stalls
+	counters.Stalls = a.stallDetector.stalls
 	return counters
 }
--- a/internal/aggregation/budget.go
+++ b/internal/aggregation/budget.go
@@ -1,33 +1,34 @@
 package aggregation
 
-// Sizes in CBOR of what a message has beside its entries, each field at its largest.
+// Largest CBOR sizes, in bytes, of the parts of a message other than its entries.
 const (
-	envelopeBytes = 12 // map, version, message type, and the body's key
-	arrayBytes    = 3  // of a list of entries or an array of fields
-	numberBytes   = 9
-	stringBytes   = 2 // of a string's length
+	envelopeBytes     = 12 // map header, version, message type, and the key of the body
+	arrayHeaderBytes  = 3  // header of a list of entries or of an array of fields
+	maxIntegerBytes   = 9
+	stringHeaderBytes = 2 // length prefix of a zone's or region's name
 
-	reportFields      = 7 // numbers in a Report
-	regionSumFields   = 10
-	digestFields      = 7
-	regionStateFields = 7
+	// Counts of the numeric fields of each message.
+	reportNumberFields      = 7
+	regionSumNumberFields   = 10
+	digestNumberFields      = 7
+	regionStateNumberFields = 7
 )
 
-// reportBudget returns how many bytes the entries of a report may take.
+// reportBudget returns the bytes available for the entries of a report.
 func reportBudget(zone string) int {
-	return MaxDatagramBytes - envelopeBytes - 2*arrayBytes - reportFields*numberBytes - stringBytes - len(zone)
+	return MaxDatagramBytes - envelopeBytes - 2*arrayHeaderBytes - reportNumberFields*maxIntegerBytes - stringHeaderBytes - len(zone)
 }
 
-// regionSumBudget returns how many bytes the entries of a region sum may take.
+// regionSumBudget returns the bytes available for the entries of a region sum.
 func regionSumBudget(region string) int {
-	return MaxDatagramBytes - envelopeBytes - 2*arrayBytes - regionSumFields*numberBytes - stringBytes - len(region)
+	return MaxDatagramBytes - envelopeBytes - 2*arrayHeaderBytes - regionSumNumberFields*maxIntegerBytes - stringHeaderBytes - len(region)
 }
 
-// digestBudget returns how many bytes the entries of a digest may take.
+// digestBudget returns the bytes available for the entries of a digest.
 func digestBudget(region string, states []RegionState) int {
-	budget := MaxDatagramBytes - envelopeBytes - 3*arrayBytes - digestFields*numberBytes - stringBytes - len(region)
+	budget := MaxDatagramBytes - envelopeBytes - 3*arrayHeaderBytes - digestNumberFields*maxIntegerBytes - stringHeaderBytes - len(region)
 	for _, state := range states {
-		budget -= arrayBytes + regionStateFields*numberBytes + stringBytes + len(state.Region)
+		budget -= arrayHeaderBytes + regionStateNumberFields*maxIntegerBytes + stringHeaderBytes + len(state.Region)
 	}
 	return budget
 }
--- a/internal/aggregation/capacity_test.go
+++ b/internal/aggregation/capacity_test.go
@@ -11,30 +11,31 @@
 	"chalkferry/internal/capacity/heap"
 )
 
-// Benchmarks behind docs/CAPACITY.md: what the sums over the fleet cost a member and an aggregator, by keys and members.
-// They measure the logic; sockets are not in them. `chalkferry capacity fit` reads their output.
+// Benchmarks for docs/CAPACITY.md: the time and memory that the sums over the fleet cost a member and an aggregator, by
+// numbers of keys and members. They measure the logic without sockets. `chalkferry capacity fit` reads their output by
+// the names of the benchmarks and of their units. A turn in a unit is one pass over all keys of a table.
 
 const (
-	slopeAggregator = aggregation.AggregatorID(1)
-	slopePair       = aggregation.AggregatorID(2)
-	slopeRegion     = "region-1"
-	slopeZone       = "zone-01"
-	slopeMaxKeys    = 32768
-	slopeMemberKeys = 2000 // of each member, where members vary
-	slopeValue      = 43   // sessions of a proxy on one of 2,000 servers
-	slopeFleetValue = 325_000
+	slopeAggregator      = aggregation.AggregatorID(1)
+	slopeOtherAggregator = aggregation.AggregatorID(2)
+	slopeRegion          = "region-1"
+	slopeZone            = "zone-01"
+	slopeMaxKeys         = 32768
+	slopeMemberKeys      = 2000 // keys of each member in the benchmarks that vary the number of members
+	slopeValue           = 43   // sessions of one proxy on one of 2,000 servers
+	slopeFleetValue      = 325_000
 )
 
 var slopeKeys = []int{500, 2000, 5000, 10000, 20000}
 
-// slopeKey is a key with an ID as long as that of a hashed name.
+// slopeKey returns the key with index n, with an ID whose encoding is as long as that of a hashed name.
 func slopeKey(n int) aggregation.Key {
 	return aggregation.Key{Kind: aggregation.ByServer, ID: uint64(n+1) * 0x9e3779b97f4a7c15}
 }
 
 func slopeMember(b *testing.B, keys int) *aggregation.Member {
 	m, err := aggregation.NewMember(0, aggregation.MemberConfig{ID: 1, Region: slopeRegion, Zone: slopeZone, Incarnation: 1,
-		Aggregators: []aggregation.AggregatorID{slopeAggregator, slopePair}, MaxKeys: slopeMaxKeys, ChangeShare: 0.1,
+		Aggregators: []aggregation.AggregatorID{slopeAggregator, slopeOtherAggregator}, MaxKeys: slopeMaxKeys, ChangeShare: 0.1,
 		Freshness: 5 * time.Second, Decay: 10 * time.Second})
 	if err != nil {
 		b.Fatal(err)
@@ -47,7 +48,7 @@
 
 func newSlopeAggregator(b *testing.B) *aggregation.Aggregator {
 	a, err := aggregation.NewAggregator(0, aggregation.AggregatorConfig{ID: slopeAggregator, Region: slopeRegion, Incarnation: 1,
-		Peers: []aggregation.Peer{{ID: slopePair, Region: slopeRegion}}, MaxMembers: 6000, MaxKeys: slopeMaxKeys, MaxMemberKeys: slopeMaxKeys,
+		Peers: []aggregation.Peer{{ID: slopeOtherAggregator, Region: slopeRegion}}, MaxMembers: 6000, MaxKeys: slopeMaxKeys, MaxMemberKeys: slopeMaxKeys,
 		ChangeShare: 0.1, Freshness: 5 * time.Second, Decay: 10 * time.Second})
 	if err != nil {
 		b.Fatal(err)
@@ -55,7 +56,8 @@
 	return a
 }
 
-// reportsOfTurn are a member's reports until each of its keys has been sent, made once for all members.
+// reportsOfTurn returns the reports of one turn: a member's reports until each of its keys was sent. They are created
+// once and used for all members.
 func reportsOfTurn(b *testing.B, keys int) (reports []aggregation.Report) {
 	m, sent := slopeMember(b, keys), map[aggregation.Key]bool{}
 	for len(sent) < keys {
@@ -68,8 +70,8 @@
 	return reports
 }
 
-// aggregatorOf has heard all keys of so many members.
-func aggregatorOf(b *testing.B, members, keys int, reports []aggregation.Report) *aggregation.Aggregator {
+// aggregatorWithMembers returns an aggregator that has received all keys of a number of members.
+func aggregatorWithMembers(b *testing.B, members, keys int, reports []aggregation.Report) *aggregation.Aggregator {
 	a := newSlopeAggregator(b)
 	for id := range members {
 		for _, r := range reports {
@@ -82,8 +84,8 @@
 	return a
 }
 
-// digestOf has entries of the fleet's sums from a key on.
-func digestOf(from aggregation.AggregatorID, number uint64, firstKey, entries, keys int) aggregation.Digest {
+// newDigest returns a digest with consecutive keys of the fleet's sums, from firstKey on.
+func newDigest(from aggregation.AggregatorID, number uint64, firstKey, entries, keys int) aggregation.Digest {
 	d := aggregation.Digest{Aggregator: from, Region: slopeRegion, Incarnation: 1, Number: number, Since: 1, Heartbeat: number,
 		Keys: uint32(keys), Regions: []aggregation.RegionState{{Region: slopeRegion, Source: from, Members: 2533, Heard: 1, Weight: 1}}}
 	for n := range entries {
@@ -93,13 +95,13 @@
 	return d
 }
 
-// informedMember has its own keys and as many sums of the fleet from both aggregators.
-func informedMember(b *testing.B, keys int) *aggregation.Member {
+// memberWithDigests returns a member with its own keys and as many sums of the fleet from each of both aggregators.
+func memberWithDigests(b *testing.B, keys int) *aggregation.Member {
 	const entries = 50
 	m := slopeMember(b, keys)
-	for _, from := range []aggregation.AggregatorID{slopeAggregator, slopePair} {
+	for _, from := range []aggregation.AggregatorID{slopeAggregator, slopeOtherAggregator} {
 		for first, number := 0, uint64(1); first < keys; first, number = first+entries, number+1 {
-			m.ReceiveDigest(0, digestOf(from, number, first, entries, keys))
+			m.ReceiveDigest(0, newDigest(from, number, first, entries, keys))
 		}
 	}
 	return m
@@ -108,7 +110,7 @@
 func BenchmarkSlopeSumsMemberState(b *testing.B) {
 	for _, keys := range slopeKeys {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
-			_, bytes := heap.Held(func() *aggregation.Member { return informedMember(b, keys) })
+			_, bytes := heap.Held(func() *aggregation.Member { return memberWithDigests(b, keys) })
 			reportOnly(b, bytes, "held-B")
 		})
 	}
@@ -122,7 +124,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			m := informedMember(b, keys)
+			m := memberWithDigests(b, keys)
 			for b.Loop() {
 				m.Report(0)
 			}
@@ -136,8 +138,8 @@
 	for _, keys := range slopeKeys {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
 			const entries = 50
-			m, number, first := informedMember(b, keys), uint64(slopeMaxKeys), 0
-			digest := digestOf(slopeAggregator, number, 0, entries, keys)
+			m, number, first := memberWithDigests(b, keys), uint64(slopeMaxKeys), 0
+			digest := newDigest(slopeAggregator, number, 0, entries, keys)
 			for b.Loop() {
 				number++
 				first = (first + entries) % keys
@@ -156,7 +158,7 @@
 func BenchmarkSlopeSumsMemberFigure(b *testing.B) {
 	for _, keys := range slopeKeys {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
-			m, n := informedMember(b, keys), 0
+			m, n := memberWithDigests(b, keys), 0
 			for b.Loop() {
 				n++
 				m.Figure(0, slopeKey(n%keys))
@@ -171,18 +173,18 @@
 	reports := reportsOfTurn(b, slopeMemberKeys)
 	for _, members := range slopeMembers {
 		b.Run(fmt.Sprintf("counts=%d", members*slopeMemberKeys), func(b *testing.B) {
-			_, bytes := heap.Held(func() *aggregation.Aggregator { return aggregatorOf(b, members, slopeMemberKeys, reports) })
+			_, bytes := heap.Held(func() *aggregation.Aggregator { return aggregatorWithMembers(b, members, slopeMemberKeys, reports) })
 			reportOnly(b, bytes, "held-B")
 		})
 	}
 }
 
-// BenchmarkSlopeSumsAggregatorReport takes one report of a full datagram in which each value has changed.
+// BenchmarkSlopeSumsAggregatorReport measures the receipt of a full report in which each value has changed.
 func BenchmarkSlopeSumsAggregatorReport(b *testing.B) {
 	reports := reportsOfTurn(b, slopeMemberKeys)
 	for _, members := range slopeMembers {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
-			a, n := aggregatorOf(b, members, slopeMemberKeys, reports), 0
+			a, n := aggregatorWithMembers(b, members, slopeMemberKeys, reports), 0
 			number := uint64(len(reports))
 			report := reports[0]
 			report.Entries = append([]aggregation.Entry{}, report.Entries...)
@@ -206,7 +208,7 @@
 func BenchmarkSlopeSumsAggregatorDigest(b *testing.B) {
 	for _, keys := range slopeKeys {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
-			a := aggregatorOf(b, 10, keys, reportsOfTurn(b, keys))
+			a := aggregatorWithMembers(b, 10, keys, reportsOfTurn(b, keys))
 			turn, sent := 0, map[aggregation.Key]bool{}
 			for ; len(sent) < keys; turn++ {
 				for _, entry := range a.Digest(0).Entries {
@@ -229,7 +231,7 @@
 func BenchmarkSlopeSumsAggregatorRegionSum(b *testing.B) {
 	for _, keys := range slopeKeys {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
-			a := aggregatorOf(b, 10, keys, reportsOfTurn(b, keys))
+			a := aggregatorWithMembers(b, 10, keys, reportsOfTurn(b, keys))
 			turn, sent := 0, map[aggregation.Key]bool{}
 			for ; len(sent) < keys; turn++ {
 				for _, entry := range a.RegionSum(0).Entries {
@@ -244,10 +246,10 @@
 	}
 }
 
-// reportOnly reports a value that is not a time, and no time.
+// reportOnly reports a metric that is not a time, and suppresses the time.
 func reportOnly(b *testing.B, value float64, unit string) {
 	for b.Loop() {
 	}
-	b.ReportMetric(0, "ns/op") // the testing package leaves it out then
+	b.ReportMetric(0, "ns/op") // with 0 the testing package omits it
 	b.ReportMetric(value, unit)
 }
--- a/internal/aggregation/config.go
+++ b/internal/aggregation/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ConfigError says which field of a configuration can't be.
+// ConfigError reports an invalid field of a MemberConfig or AggregatorConfig.
 type ConfigError struct {
 	Field  string
 	Reason string
@@ -13,34 +13,34 @@
 
 func (e *ConfigError) Error() string { return fmt.Sprintf("aggregation: %s: %s", e.Field, e.Reason) }
 
-// MemberConfig is what a member is made of.
+// MemberConfig configures a Member.
 type MemberConfig struct {
 	ID          MemberID
 	Region      string
 	Zone        string
 	Incarnation Incarnation
-	Aggregators []AggregatorID // of its region, at least one
-	MaxKeys     int            // of its own values, and of the fleet's sums
-	ChangeShare float64        // a value that changed by a larger share than this is sent at once
-	Freshness   time.Duration  // what is not heard counts in full for so long
-	Decay       time.Duration  // and then less, linearly, to nothing
+	Aggregators []AggregatorID // all aggregators of the region, at least one
+	MaxKeys     int            // limit on the keys of the own table, and on those of each digest table
+	ChangeShare float64        // 0 to 1; a value that changed by a larger share of what was last sent goes into the next report
+	Freshness   time.Duration  // how long a sender counts in full after it was last heard
+	Decay       time.Duration  // how long its weight then takes to fall linearly to 0
 }
 
-// Peer is another aggregator.
+// Peer identifies another aggregator and its region.
 type Peer struct {
 	ID     AggregatorID
 	Region string
 }
 
-// AggregatorConfig is what an aggregator is made of.
+// AggregatorConfig configures an Aggregator. Fields that MemberConfig has too mean the same.
 type AggregatorConfig struct {
 	ID            AggregatorID
 	Region        string
 	Incarnation   Incarnation
-	Peers         []Peer // all others, of all regions
-	MaxMembers    int
-	MaxKeys       int // of the fleet's sums
-	MaxMemberKeys int // of one member
+	Peers         []Peer // all other aggregators, of all regions
+	MaxMembers    int    // limit on the known members of the region
+	MaxKeys       int    // limit on the keys of the fleet's sums
+	MaxMemberKeys int    // limit on the keys of one member
 	ChangeShare   float64
 	Freshness     time.Duration
 	Decay         time.Duration
@@ -50,22 +50,22 @@
 func (c *MemberConfig) Validate() error {
 	switch {
 	case !validName(c.Region):
-		return &ConfigError{"Region", nameRule}
+		return &ConfigError{"Region", nameLengthRule}
 	case !validName(c.Zone):
-		return &ConfigError{"Zone", nameRule}
+		return &ConfigError{"Zone", nameLengthRule}
 	case c.Incarnation == 0:
 		return &ConfigError{"Incarnation", "is 0"}
 	case len(c.Aggregators) == 0:
-		return &ConfigError{"Aggregators", "none is named"}
+		return &ConfigError{"Aggregators", "at least one is required"}
 	}
 	seen := map[AggregatorID]bool{0: true}
 	for _, id := range c.Aggregators {
 		if seen[id] {
-			return &ConfigError{"Aggregators", fmt.Sprintf("%d is 0 or named twice", id)}
+			return &ConfigError{"Aggregators", fmt.Sprintf("ID %d is 0 or listed twice", id)}
 		}
 		seen[id] = true
 	}
-	return validBounds(c.MaxKeys, c.ChangeShare, c.Freshness, c.Decay)
+	return validateCommonFields(c.MaxKeys, c.ChangeShare, c.Freshness, c.Decay)
 }
 
 // Validate returns a *ConfigError for the first field that can't be.
@@ -74,7 +74,7 @@
 	case c.ID == 0:
 		return &ConfigError{"ID", "is 0"}
 	case !validName(c.Region):
-		return &ConfigError{"Region", nameRule}
+		return &ConfigError{"Region", nameLengthRule}
 	case c.Incarnation == 0:
 		return &ConfigError{"Incarnation", "is 0"}
 	case c.MaxMembers < 1 || c.MaxMembers > maxMembersLimit:
@@ -86,45 +86,45 @@
 	regions := map[string]bool{c.Region: true}
 	for _, peer := range c.Peers {
 		if seen[peer.ID] {
-			return &ConfigError{"Peers", fmt.Sprintf("%d is 0, this aggregator's or named twice", peer.ID)}
+			return &ConfigError{"Peers", fmt.Sprintf("ID %d is 0, this aggregator's own or listed twice", peer.ID)}
 		}
 		if !validName(peer.Region) {
-			return &ConfigError{"Peers", "region: " + nameRule}
+			return &ConfigError{"Peers", "region: " + nameLengthRule}
 		}
 		seen[peer.ID], regions[peer.Region] = true, true
 	}
 	if len(regions) > MaxRegions {
-		return &ConfigError{"Peers", fmt.Sprintf("%d regions, at most %d are possible", len(regions), MaxRegions)}
+		return &ConfigError{"Peers", fmt.Sprintf("%d regions, at most %d are allowed", len(regions), MaxRegions)}
 	}
-	return validBounds(c.MaxKeys, c.ChangeShare, c.Freshness, c.Decay)
+	return validateCommonFields(c.MaxKeys, c.ChangeShare, c.Freshness, c.Decay)
 }
 
-const nameRule = "must have 1 to 32 bytes"
+const nameLengthRule = "must have 1 to 32 bytes"
 
 func validName(name string) bool { return len(name) > 0 && len(name) <= MaxNameBytes }
 
-// maxMembersLimit and maxDecay bound the sums over fading members, see regionSums.
+// maxMembersLimit and maxDecay keep the products in regionSums within 64 bits, see maxMemberValue.
 const (
 	maxMembersLimit = 1 << 15
 	maxDecay        = 10 * time.Minute
 )
 
-// maxTableKeys is far above what a table can send in a useful time.
+// maxTableKeys bounds the configurable table sizes. It is far more keys than a table could send in a useful time.
 const maxTableKeys = 1 << 20
 
-func validBounds(maxKeys int, changeShare float64, freshness, decay time.Duration) error {
+func validateCommonFields(maxKeys int, changeShare float64, freshness, decay time.Duration) error {
 	switch {
 	case maxKeys < 1 || maxKeys > maxTableKeys:
 		return &ConfigError{"MaxKeys", fmt.Sprintf("is not within 1 to %d", maxTableKeys)}
 	case !(changeShare >= 0 && changeShare <= 1):
 		return &ConfigError{"ChangeShare", "is not within 0 to 1"}
 	case freshness <= 0 || freshness > time.Hour:
-		return &ConfigError{"Freshness", "is not above 0 and at most an hour"}
+		return &ConfigError{"Freshness", "must be above 0 and at most 1h"}
 	case decay < decayTick || decay > maxDecay:
 		return &ConfigError{"Decay", fmt.Sprintf("is not within %v to %v", decayTick, maxDecay)}
 	}
 	return nil
 }
 
-// decayTick is the step in which weights fall.
+// decayTick is the unit of time in which regionSums computes the weights of fading members.
 const decayTick = 10 * time.Millisecond
--- a/internal/aggregation/dictionary.go
+++ b/internal/aggregation/dictionary.go
@@ -2,69 +2,69 @@
 
 import "slices"
 
-// dictionary gives each key a small index, so that many tables can have the key without its 16 bytes. Each table that
-// has an index holds a reference; an index without one is given to the next key.
+// dictionary maps keys to small indexes, so that many tables can refer to a key without storing its 16 bytes. Each
+// table that uses an index holds a reference to it; an index without references is reused for the next new key.
 type dictionary struct {
-	max        int
-	index      map[Key]uint32
-	keys       []Key
-	references []uint32
-	free       []uint32
+	maxKeys         int
+	indexes         map[Key]uint32
+	keys            []Key
+	referenceCounts []uint32
+	freeIndexes     []uint32
 }
 
-func newDictionary(max int) *dictionary {
-	return &dictionary{max: max, index: map[Key]uint32{}}
+func newDictionary(maxKeys int) *dictionary {
+	return &dictionary{maxKeys: maxKeys, indexes: map[Key]uint32{}}
 }
 
-// find returns the index of a key that some table has.
+// find returns the index of a key; known is false if no table has it.
 func (d *dictionary) find(key Key) (index uint32, known bool) {
-	index, known = d.index[key]
+	index, known = d.indexes[key]
 	return index, known
 }
 
-// acquire adds a reference to the key, which gets an index if it has none. It returns false if there is no room.
+// acquire adds a reference to a key, and assigns it an index if it has none. ok is false if the dictionary is full.
 func (d *dictionary) acquire(key Key) (index uint32, ok bool) {
-	index, known := d.index[key]
+	index, known := d.indexes[key]
 	switch {
 	case known:
-	case len(d.index) >= d.max:
+	case len(d.indexes) >= d.maxKeys:
 		return 0, false
-	case len(d.free) > 0:
-		index = d.free[len(d.free)-1]
-		d.free = d.free[:len(d.free)-1]
+	case len(d.freeIndexes) > 0:
+		index = d.freeIndexes[len(d.freeIndexes)-1]
+		d.freeIndexes = d.freeIndexes[:len(d.freeIndexes)-1]
 		d.keys[index] = key
-		d.index[key] = index
+		d.indexes[key] = index
 	default:
 		index = uint32(len(d.keys))
 		d.keys = append(d.keys, key)
-		d.references = append(d.references, 0)
-		d.index[key] = index
+		d.referenceCounts = append(d.referenceCounts, 0)
+		d.indexes[key] = index
 	}
-	d.references[index]++
+	d.referenceCounts[index]++
 	return index, true
 }
 
-// retain adds a reference to an index that has one already.
-func (d *dictionary) retain(index uint32) { d.references[index]++ }
+// retain adds a reference to an index that is already in use.
+func (d *dictionary) retain(index uint32) { d.referenceCounts[index]++ }
 
-// release takes back a reference.
+// release removes a reference, and frees the index if it was the last one.
 func (d *dictionary) release(index uint32) {
-	d.references[index]--
-	if d.references[index] > 0 {
+	d.referenceCounts[index]--
+	if d.referenceCounts[index] > 0 {
 		return
 	}
-	delete(d.index, d.keys[index])
-	d.free = append(d.free, index)
+	delete(d.indexes, d.keys[index])
+	d.freeIndexes = append(d.freeIndexes, index)
 }
 
-// size is one more than the largest index.
-func (d *dictionary) size() int { return len(d.keys) }
+// indexLimit returns one more than the largest index ever used.
+func (d *dictionary) indexLimit() int { return len(d.keys) }
 
-// sorted returns the keys that some table has, in order.
-func (d *dictionary) sorted() []Key {
-	keys := make([]Key, 0, len(d.index))
+// sortedKeys returns the keys in use, sorted.
+func (d *dictionary) sortedKeys() []Key {
+	keys := make([]Key, 0, len(d.indexes))
 	for index, key := range d.keys {
-		if d.references[index] > 0 {
+		if d.referenceCounts[index] > 0 {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/aggregation/figure.go
+++ b/internal/aggregation/figure.go
@@ -2,60 +2,62 @@
 
 import "time"
 
-// Figure is a sum over the fleet, and how good it is. Value differs from what the heard members held Age ago by at
-// most Error. Age counts from when datagrams came in: the time that they spent on the network is not in it.
+// Figure is a sum over the fleet with bounds on its error and age. Value differs by at most Error from the sum of what
+// the heard members held Age ago. Age counts from the receipt of datagrams and does not include their time on the
+// network.
 type Figure struct {
 	Value float64
 	Error float64
-	Age   time.Duration // of the oldest part that counts
-	Heard float64       // share of the known members that is fresh and fully received
+	Age   time.Duration // age of the oldest values that count
+	Heard float64       // share of the known members, 0 to 1, that were heard within the freshness and fully received
 }
 
-// AggregatorStatus is what a member knows of an aggregator, or an aggregator of another one.
+// AggregatorStatus is the status of an aggregator as seen by a member or by another aggregator.
 type AggregatorStatus struct {
 	ID          AggregatorID
 	Region      string
-	Known       bool // a datagram of it was accepted
+	Known       bool // a valid datagram of it was received
 	Incarnation Incarnation
 	Age         time.Duration // since the latest datagram; 0 if not Known
-	InUse       bool          // its sums are those that count
-	Subscribed  bool          // of a member: the digests are asked of it
-	Members     uint32        // known members that its sums are about
-	Heard       float64       // share of them that is fresh and fully received
-	Keys        int           // keys received
-	KeysSent    uint32        // keys that it says it has
+	InUse       bool          // its sums are the ones used
+	Subscribed  bool          // the member asks it for digests; always false if seen by an aggregator
+	Members     uint32        // members known to it
+	Heard       float64       // share of them, 0 to 1, that were heard within the freshness and fully received
+	Keys        int           // received keys with a value other than 0
+	KeysSent    uint32        // number of such keys according to its datagrams
 }
 
-// MemberStatus is what an aggregator knows of a member.
+// MemberStatus is the status of a member as seen by an aggregator.
 type MemberStatus struct {
 	ID          MemberID
 	Zone        string
 	Incarnation Incarnation
-	Number      uint64        // of its latest report
-	Age         time.Duration // since that
-	Weight      float64       // 1: counts in full
-	Keys        int           // keys received
-	KeysSent    uint32        // keys that it says it has
-	Slack       uint64
-	Subscribed  bool
+	Number      uint64        // number of its latest report
+	Age         time.Duration // time since that report
+	Weight      float64       // 1: counts in full; 0: no longer counts
+	Keys        int           // received keys with a value other than 0
+	KeysSent    uint32        // number of such keys according to its reports
+	Slack       uint64        // as in its latest report
+	Subscribed  bool          // it asks this aggregator for digests
 }
 
-// Counters count what was dropped since the start.
+// Counters counts events since the start: datagrams by outcome, what was dropped, and stalls.
 type Counters struct {
-	Keys        uint64 // entries of keys for which there was no room
-	Members     uint64 // reports of members for which there was no room
-	Duplicate   uint64 // datagrams by outcome
-	Obsolete    uint64
-	Refused     uint64
-	Unknown     uint64
-	Malformed   uint64
-	Accepted    uint64
-	Incarnation uint64 // of a member: how often it took a larger incarnation than it was started with
-	Stalls      uint64 // how often the process was found to have been stopped for a while
+	DroppedEntries       uint64 // entries dropped because a table or the dictionary was full
+	DroppedMemberReports uint64 // reports of new members beyond the limit on members
+	Duplicate            uint64 // this and the next five: datagrams by outcome
+	Obsolete             uint64
+	Refused              uint64
+	UnknownSender        uint64
+	Malformed            uint64
+	Accepted             uint64
+	IncarnationChanges   uint64 // of a member: how often it took a larger incarnation because its own was refused
+	Stalls               uint64 // detected pauses of the process, see stallDetector
 }
 
-func (c *Counters) count(o Outcome) Outcome {
-	switch o {
+// count increments the counter of an outcome and returns the outcome.
+func (c *Counters) count(outcome Outcome) Outcome {
+	switch outcome {
 	case Accepted:
 		c.Accepted++
 	case Duplicate:
@@ -65,11 +67,11 @@
 	case Refused:
 		c.Refused++
 	case UnknownSender:
-		c.Unknown++
+		c.UnknownSender++
 	case NoRoom:
-		c.Members++
+		c.DroppedMemberReports++
 	case Malformed:
 		c.Malformed++
 	}
-	return o
+	return outcome
 }
--- a/internal/aggregation/forgotten.go
+++ b/internal/aggregation/forgotten.go
@@ -2,18 +2,18 @@
 
 import "container/list"
 
-// lastReport names the latest report of a member.
+// lastReport identifies the latest report of a member.
 type lastReport struct {
 	incarnation Incarnation
 	number      uint32
 }
 
-// forgottenMembers remembers the latest reports of the members that were forgotten last, so that a replay of their
-// reports does not bring them back.
+// forgottenMembers remembers the latest reports of the most recently removed members, so that replayed reports do not
+// bring them back.
 type forgottenMembers struct {
-	max   int
-	known map[MemberID]*list.Element // of forgottenMember
-	order *list.List                 // the one forgotten first is the first
+	maxMembers int
+	elements   map[MemberID]*list.Element // the elements of order
+	order      *list.List                 // of forgottenMember; the first is the one removed longest ago
 }
 
 type forgottenMember struct {
@@ -21,27 +21,27 @@
 	lastReport
 }
 
-func newForgottenMembers(max int) forgottenMembers {
-	return forgottenMembers{max: max, known: map[MemberID]*list.Element{}, order: list.New()}
+func newForgottenMembers(maxMembers int) forgottenMembers {
+	return forgottenMembers{maxMembers: maxMembers, elements: map[MemberID]*list.Element{}, order: list.New()}
 }
 
 func (f *forgottenMembers) add(id MemberID, last lastReport) {
 	f.remove(id)
-	f.known[id] = f.order.PushBack(forgottenMember{id, last})
-	if f.order.Len() > f.max {
+	f.elements[id] = f.order.PushBack(forgottenMember{id, last})
+	if f.order.Len() > f.maxMembers {
 		f.remove(f.order.Front().Value.(forgottenMember).id)
 	}
 }
 
 func (f *forgottenMembers) remove(id MemberID) {
-	if element := f.known[id]; element != nil {
+	if element := f.elements[id]; element != nil {
 		f.order.Remove(element)
-		delete(f.known, id)
+		delete(f.elements, id)
 	}
 }
 
 func (f *forgottenMembers) find(id MemberID) (last lastReport, known bool) {
-	element := f.known[id]
+	element := f.elements[id]
 	if element == nil {
 		return lastReport{}, false
 	}
--- a/internal/aggregation/hostile_test.go
+++ b/internal/aggregation/hostile_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// TestStranger: datagrams of an aggregator, region or member that is not the right one change nothing.
+// TestStranger: datagrams that name an unknown aggregator, a wrong region or another member change nothing.
 func TestStranger(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(5)
-	s := calmFleet(t, layout{regions: 2, zones: 1, membersInZone: 2}, keys)
+	keys := testKeys(5)
+	s := newExactFleet(t, fleetLayout{regions: 2, zones: 1, membersInZone: 2}, keys)
 	a, m := s.aggregators[0], s.members[0]
 	big := []Entry{{Kind: keys[0].Kind, ID: keys[0].ID, Value: 1 << 40}}
 	for name, sum := range map[string]RegionSum{
@@ -40,19 +40,19 @@
 			t.Errorf("%s: %v", name, outcome)
 		}
 	}
-	if n := a.Counters().Unknown + m.Counters().Unknown; n != 8 {
-		t.Errorf("%d counted", n)
+	if n := a.Counters().UnknownSender + m.Counters().UnknownSender; n != 8 {
+		t.Errorf("%d datagrams of unknown senders counted, want 8", n)
 	}
 	s.checkExact(keys)
 }
 
-// TestMalformed: datagrams whose fields can't be change nothing.
+// TestMalformed: datagrams with invalid fields change nothing.
 func TestMalformed(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(5)
-	s := calmFleet(t, layout{regions: 2, zones: 1, membersInZone: 2}, keys)
+	keys := testKeys(5)
+	s := newExactFleet(t, fleetLayout{regions: 2, zones: 1, membersInZone: 2}, keys)
 	a, m := s.aggregators[0], s.members[0]
-	for name, spoil := range map[string]func(*Report){
+	for name, invalidate := range map[string]func(*Report){
 		"no number":      func(r *Report) { r.Number = 0 },
 		"long number":    func(r *Report) { r.Number = 1 << 32 },
 		"since":          func(r *Report) { r.Since = r.Number + 1 },
@@ -65,12 +65,12 @@
 		"many entries":   func(r *Report) { r.Entries = make([]Entry, MaxDatagramBytes) },
 	} {
 		report := Report{Member: 5, Incarnation: 1, Number: 7, Since: 3, Zone: "z", Keys: 1, Entries: []Entry{entry(1, 1, 1)}}
-		spoil(&report)
+		invalidate(&report)
 		if outcome, _ := a.ReceiveReport(s.now, report); outcome != Malformed {
 			t.Errorf("report, %s: %v", name, outcome)
 		}
 	}
-	for name, spoil := range map[string]func(*RegionSum){
+	for name, invalidate := range map[string]func(*RegionSum){
 		"heard": func(r *RegionSum) { r.Heard = 1.1 },
 		"NaN":   func(r *RegionSum) { r.Heard = math.NaN() },
 		"age":   func(r *RegionSum) { r.Age = -1 },
@@ -79,12 +79,12 @@
 		"value": func(r *RegionSum) { r.Entries[0].Value = math.MaxUint64 },
 	} {
 		sum := RegionSum{Aggregator: 3, Region: "region1", Incarnation: 9, Number: 7, Entries: []Entry{entry(1, 1, 1)}}
-		spoil(&sum)
+		invalidate(&sum)
 		if outcome := a.ReceiveRegionSum(s.now, sum); outcome != Malformed {
 			t.Errorf("region sum, %s: %v", name, outcome)
 		}
 	}
-	for name, spoil := range map[string]func(*Digest){
+	for name, invalidate := range map[string]func(*Digest){
 		"regions":      func(d *Digest) { d.Regions = make([]RegionState, MaxRegions+1) },
 		"region":       func(d *Digest) { d.Regions = []RegionState{{Region: ""}} },
 		"share":        func(d *Digest) { d.Regions = []RegionState{{Region: "r", Weight: math.Inf(1)}} },
@@ -92,7 +92,7 @@
 		"no number":    func(d *Digest) { d.Number = 0 },
 	} {
 		digest := Digest{Aggregator: 1, Region: "region0", Incarnation: 9, Number: 7, Heartbeat: 1, Entries: []Entry{entry(1, 1, 1)}}
-		spoil(&digest)
+		invalidate(&digest)
 		if outcome := m.ReceiveDigest(s.now, digest); outcome != Malformed {
 			t.Errorf("digest, %s: %v", name, outcome)
 		}
@@ -103,61 +103,61 @@
 	s.checkExact(keys)
 }
 
-// TestReplayedFromYesterday: reports that come again neither keep a dead member, bring it back after it was forgotten,
-// nor count beside those of its next process.
+// TestReplayedFromYesterday: replayed reports neither keep a dead member known, nor bring it back after it was removed,
+// nor count in addition to those of its next process.
 func TestReplayedFromYesterday(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(5)
-	s := calmFleet(t, layout{regions: 1, zones: 1, membersInZone: 3}, keys)
+	keys := testKeys(5)
+	s := newExactFleet(t, fleetLayout{regions: 1, zones: 1, membersInZone: 3}, keys)
 	m, a := s.members[0], s.aggregators[0]
-	var old []Report
+	var oldReports []Report
 	for range 20 {
-		s.run(s.report, nil)
+		s.run(s.reportInterval, nil)
 		report := m.Report(s.now)
-		old = append(old, report)
+		oldReports = append(oldReports, report)
 		a.ReceiveReport(s.now, report)
 		s.aggregators[1].ReceiveReport(s.now, report)
 	}
 	s.stopMember(m)
 	replay := func() {
-		for _, report := range old {
+		for _, report := range oldReports {
 			if outcome, _ := a.ReceiveReport(s.now, report); outcome == Accepted {
-				t.Fatalf("%v: a report of before is %v", s.now, outcome)
+				t.Fatalf("%v: a replayed report is %v", s.now, outcome)
 			}
 		}
 	}
 	s.run(testFreshness+testDecay+time.Second, replay)
 	if a.KnownMember(s.now, m.config.ID) {
-		t.Error("replays keep a dead member")
+		t.Error("replays keep a dead member known")
 	}
 	s.checkExact(keys)
 	s.now += 24 * time.Hour
-	s.run(afterStart+testFreshness, nil)
+	s.run(timeToExactAfterStart+testFreshness, nil)
 	replay()
 	s.checkExact(keys)
 	s.startMember(m)
 	s.set(m, keys[0], 3)
-	s.settle(3*time.Second, keys)
+	s.runUntilExact(3*time.Second, keys)
 	replay()
 	s.run(time.Second, func() {
 		replay()
 		s.checkExact(keys[:1])
 	})
 	if a.Counters().Refused == 0 || a.Counters().Duplicate+a.Counters().Obsolete == 0 {
-		t.Errorf("%+v", a.Counters())
+		t.Errorf("no refused or no duplicate reports counted: %+v", a.Counters())
 	}
 }
 
-// TestReplayedSums: region sums and digests that come again do not keep a dead aggregator.
+// TestReplayedSums: replayed region sums and digests do not keep a dead aggregator's sums in use.
 func TestReplayedSums(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(5)
-	s := calmFleet(t, layout{regions: 2, zones: 1, membersInZone: 3}, keys)
+	keys := testKeys(5)
+	s := newExactFleet(t, fleetLayout{regions: 2, zones: 1, membersInZone: 3}, keys)
 	dead, peer, m := s.aggregators[0], s.aggregators[2], s.members[0]
 	var sums []RegionSum
 	var digests []Digest
 	for range 10 {
-		s.run(s.digest, nil)
+		s.run(s.digestInterval, nil)
 		sum, digest := dead.RegionSum(s.now), dead.Digest(s.now)
 		peer.ReceiveRegionSum(s.now, sum)
 		m.ReceiveDigest(s.now, digest)
@@ -168,23 +168,23 @@
 	s.run(testFreshness+testDecay+time.Second, func() {
 		peer.ReceiveRegionSum(s.now, sums[s.random.Intn(len(sums))])
 		if outcome := m.ReceiveDigest(s.now, digests[s.random.Intn(len(digests))]); outcome == Accepted {
-			t.Fatalf("%v: a digest of before is %v", s.now, outcome)
+			t.Fatalf("%v: a replayed digest is %v", s.now, outcome)
 		}
 	})
 	if state := peer.Regions(s.now)[0]; state.Weight != 0 {
-		t.Errorf("replays keep a region: %+v", state)
+		t.Errorf("replays keep a region's sums in use: %+v", state)
 	}
-	if f := m.Figure(s.now, keys[0]); f.Value != float64(m.own.value(keys[0])) || f.Heard != 0 {
-		t.Errorf("replays keep an aggregator: %+v", f)
+	if f := m.Figure(s.now, keys[0]); f.Value != float64(m.ownTable.value(keys[0])) || f.Heard != 0 {
+		t.Errorf("replays keep an aggregator's sums in use: %+v", f)
 	}
 }
 
-// TestTenThousandASecond: reports of strangers, ten thousand a second. The state stays bounded, the members known before
-// stay right, what was dropped is counted, and once they end a new member is let in.
+// TestTenThousandASecond: under 10,000 reports of random members a second the state stays bounded, the values of the
+// known members stay exact and dropped entries are counted. Once the reports end, a new member is accepted.
 func TestTenThousandASecond(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(5)
-	s := calmFleet(t, layout{regions: 2, zones: 1, membersInZone: 3, maxKeys: 200}, keys)
+	keys := testKeys(5)
+	s := newExactFleet(t, fleetLayout{regions: 2, zones: 1, membersInZone: 3, maxKeys: 200}, keys)
 	random := rand.New(rand.NewSource(9))
 	a := s.aggregators[0]
 	s.run(3*time.Second, func() {
@@ -197,31 +197,31 @@
 		}
 		for _, m := range s.members[:3] {
 			status := a.membership.members[m.config.ID]
-			if status == nil || status.table.complete() < 1 {
-				t.Fatalf("%v: %s was crowded out", s.now, m.name)
+			if status == nil || status.table.receivedShare() < 1 {
+				t.Fatalf("%v: %s was displaced", s.now, m.name)
 			}
 		}
 	})
 	if n := a.MemberCount(s.now); n > a.config.MaxMembers {
-		t.Errorf("%d members", n)
+		t.Errorf("%d members, at most %d are allowed", n, a.config.MaxMembers)
 	}
 	if n := len(a.dictionary.keys); n > a.config.MaxKeys {
-		t.Errorf("%d keys", n)
+		t.Errorf("%d keys, at most %d are allowed", n, a.config.MaxKeys)
 	}
 	for _, key := range keys {
-		if f := a.Figure(s.now, key); f.Value != float64(s.truth(key)) {
-			t.Errorf("%v: %+v, not %d", key, f, s.truth(key))
+		if f := a.Figure(s.now, key); f.Value != float64(s.expectedSum(key)) {
+			t.Errorf("key %v: %+v, want %d", key, f, s.expectedSum(key))
 		}
 	}
 	counters := a.Counters()
-	if counters.Members < 25_000 || counters.Keys < 500 {
-		t.Errorf("%+v", counters)
+	if counters.DroppedMemberReports < 25_000 || counters.DroppedEntries < 500 {
+		t.Errorf("too few dropped reports or entries counted: %+v", counters)
 	}
 	s.run(testFreshness+testDecay+2*time.Second, nil)
 	if n := a.membership.forgotten.order.Len(); n > 2*a.config.MaxMembers {
-		t.Errorf("%d forgotten members", n)
+		t.Errorf("%d forgotten members, at most twice MaxMembers are allowed", n)
 	}
 	m := s.addMember("region0", "zone0", 200)
 	s.set(m, Key{ByTenant, 99}, 5)
-	s.settle(afterStart, append(keys, Key{ByTenant, 99}))
+	s.runUntilExact(timeToExactAfterStart, append(keys, Key{ByTenant, 99}))
 }
--- a/internal/aggregation/member.go
+++ b/internal/aggregation/member.go
@@ -5,57 +5,58 @@
 	"time"
 )
 
-// Member is a proxy's part: it reports its own values, and has the fleet's sums from the aggregator it subscribes to.
+// Member is the state of one proxy: its own values, which it reports, and the fleet's sums as received from the
+// aggregators of its region.
 type Member struct {
-	config       MemberConfig
-	guard        stallGuard
-	own          *outbox
-	sources      []*digestSource // in the order of the configuration
-	subscription subscription
-	inUse        *digestSource // whose sums the figures are
-	contacted    bool          // an aggregator was heard
-	contactedAt  time.Duration // at first
-	superseded   bool
-	counters     Counters
+	config             MemberConfig
+	stallDetector      stallDetector
+	ownTable           *sendTable
+	digestSources      []*digestSource // in configuration order
+	subscription       subscription
+	sourceInUse        *digestSource // the source whose sums Figure returns
+	hasHeardAggregator bool          // a datagram of an aggregator was accepted
+	firstHeardAt       time.Duration // when the first one was
+	superseded         bool
+	counters           Counters
 }
 
-// NewMember returns a member that has no values yet.
+// NewMember returns a member without values. It returns a *ConfigError if the configuration is invalid.
 func NewMember(now time.Duration, config MemberConfig) (*Member, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
 	config.Aggregators = slices.Clone(config.Aggregators)
-	dictionary := newDictionary(config.MaxKeys * (1 + len(config.Aggregators))) // as many as all tables may have
+	dictionary := newDictionary(config.MaxKeys * (1 + len(config.Aggregators))) // room for the keys of all tables
 	m := &Member{
-		config: config,
-		guard:  newStallGuard(now, config.Freshness),
-		own:    newOutbox(dictionary, config.MaxKeys, config.ChangeShare),
+		config:        config,
+		stallDetector: newStallDetector(now, config.Freshness),
+		ownTable:      newSendTable(dictionary, config.MaxKeys, config.ChangeShare),
 	}
 	for _, id := range config.Aggregators {
-		table := inbox[uint64]{dictionary: dictionary, max: config.MaxKeys}
-		m.sources = append(m.sources, &digestSource{id: id, table: table})
+		table := receiveTable[uint64]{dictionary: dictionary, maxKeys: config.MaxKeys}
+		m.digestSources = append(m.digestSources, &digestSource{id: id, table: table})
 	}
 	m.subscription = newSubscription(now, config.ID, config.Aggregators)
-	m.inUse = m.source(m.subscription.current)
+	m.sourceInUse = m.source(m.subscription.current)
 	return m, nil
 }
 
-// Set sets one of the member's own values. One that falls to 0 goes once that was sent. It returns false if there is
-// no room for the key: that is counted. Values above 2^32-1 are taken for that.
+// Set sets one of the member's own values; values above 2^32-1 are set to 2^32-1. A key that falls to 0 is removed once
+// the 0 has been sent. Set returns false, and counts a dropped entry, if the kind is invalid or the table is full.
 func (m *Member) Set(key Key, value uint64) bool {
-	if key.Kind < ByServer || key.Kind > ByListener || !m.own.set(key, min(value, maxMemberValue)) {
-		m.counters.Keys++
+	if key.Kind < ByServer || key.Kind > ByListener || !m.ownTable.set(key, min(value, maxMemberValue)) {
+		m.counters.DroppedEntries++
 		return false
 	}
 	return true
 }
 
-// Report returns the next report, to be sent to all aggregators of the region, at a constant rate.
+// Report returns the next report, to be sent to all aggregators of the region. The caller calls it at a constant rate.
 func (m *Member) Report(now time.Duration) Report {
-	now = m.guard.advance(now)
-	m.subscription.update(now, m.sources, m.config.Freshness, m.config.Decay)
-	m.chooseTable(now)
-	batch := m.own.next(reportBudget(m.config.Zone))
+	now = m.stallDetector.advance(now)
+	m.subscription.update(now, m.digestSources, m.config.Freshness, m.config.Decay)
+	m.updateSourceInUse(now)
+	batch := m.ownTable.nextBatch(reportBudget(m.config.Zone))
 	return Report{
 		Member:      m.config.ID,
 		Incarnation: m.config.Incarnation,
@@ -69,9 +70,9 @@
 	}
 }
 
-// ReceiveDigest takes a digest or heartbeat.
+// ReceiveDigest processes a digest or heartbeat.
 func (m *Member) ReceiveDigest(now time.Duration, digest Digest) Outcome {
-	now = m.guard.advance(now)
+	now = m.stallDetector.advance(now)
 	source := m.source(digest.Aggregator)
 	switch {
 	case source == nil || digest.Region != m.config.Region:
@@ -79,20 +80,21 @@
 	case !validDigest(&digest):
 		return m.counters.count(Malformed)
 	}
-	outcome, dropped := source.receive(&digest, m.guard.receivedAt())
-	m.counters.Keys += uint64(dropped)
+	outcome, dropped := source.receive(&digest, m.stallDetector.receiveTime())
+	m.counters.DroppedEntries += uint64(dropped)
 	if outcome == Accepted {
-		m.contact(now)
-		m.chooseTable(now)
+		m.recordFirstContact(now)
+		m.updateSourceInUse(now)
 	}
 	return m.counters.count(outcome)
 }
 
-// ReceiveRefusal takes the answer to a report of an earlier incarnation than the aggregator knows. A process that was
-// just started takes a later one: its clock was set back. Another is superseded by a later process of its name, and
-// says so.
+// ReceiveRefusal processes the reply to a report whose incarnation is earlier than the one the aggregator knows. If
+// that happens within the freshness after the first contact with an aggregator, the clock was set back before the
+// process started, and the member takes a later incarnation. Otherwise a later process with the same ID is running, and
+// this one is marked as superseded.
 func (m *Member) ReceiveRefusal(now time.Duration, refusal Refusal) Outcome {
-	now = m.guard.advance(now)
+	now = m.stallDetector.advance(now)
 	switch {
 	case m.source(refusal.Aggregator) == nil || refusal.Member != m.config.ID:
 		return m.counters.count(UnknownSender)
@@ -101,26 +103,26 @@
 	case refusal.Incarnation <= m.config.Incarnation:
 		return m.counters.count(Obsolete)
 	}
-	m.contact(now)
-	if now-m.contactedAt > m.config.Freshness {
+	m.recordFirstContact(now)
+	if now-m.firstHeardAt > m.config.Freshness {
 		m.superseded = true
 		return m.counters.count(Accepted)
 	}
 	m.config.Incarnation = refusal.Incarnation + 1
-	m.own.restart()
-	m.counters.Incarnation++
+	m.ownTable.markAllUnsent()
+	m.counters.IncarnationChanges++
 	return m.counters.count(Accepted)
 }
 
-// contact notes when an aggregator was heard for the first time.
-func (m *Member) contact(now time.Duration) {
-	if !m.contacted {
-		m.contacted, m.contactedAt = true, now
+// recordFirstContact records when a datagram of an aggregator was first accepted.
+func (m *Member) recordFirstContact(now time.Duration) {
+	if !m.hasHeardAggregator {
+		m.hasHeardAggregator, m.firstHeardAt = true, now
 	}
 }
 
 func (m *Member) source(id AggregatorID) *digestSource {
-	for _, source := range m.sources {
+	for _, source := range m.digestSources {
 		if source.id == id {
 			return source
 		}
@@ -128,38 +130,41 @@
 	return nil
 }
 
-// chooseTable goes over to the table of the subscribed aggregator once it has as much as the one in use.
-func (m *Member) chooseTable(now time.Duration) {
+// updateSourceInUse switches to the digests of the subscribed aggregator once they cover as many members, within
+// switchRatio, as those in use.
+func (m *Member) updateSourceInUse(now time.Duration) {
 	subscribed := m.source(m.subscription.current)
-	if subscribed == m.inUse {
+	if subscribed == m.sourceInUse {
 		return
 	}
-	if m.quality(subscribed, now)*switchMargin >= m.quality(m.inUse, now) {
-		m.inUse = subscribed
+	if m.weightedHeardMembers(subscribed, now)*switchRatio >= m.weightedHeardMembers(m.sourceInUse, now) {
+		m.sourceInUse = subscribed
 	}
 }
 
-// quality returns how many members a table's sums are from, each by the share of its keys.
-func (m *Member) quality(source *digestSource, now time.Duration) float64 {
-	return m.weight(source, now) * source.heardMembers() * source.table.complete()
+// weightedHeardMembers returns the number of members that a source's sums cover, scaled by the source's weight and by
+// the share of its keys that were received.
+func (m *Member) weightedHeardMembers(source *digestSource, now time.Duration) float64 {
+	return m.sourceWeight(source, now) * source.heardMembers() * source.table.receivedShare()
 }
 
-func (m *Member) weight(source *digestSource, now time.Duration) float64 {
+// sourceWeight returns the weight of a source by its age; 0 if it was never heard.
+func (m *Member) sourceWeight(source *digestSource, now time.Duration) float64 {
 	if !source.known {
 		return 0
 	}
-	return weight(now-source.heardAt, m.config.Freshness, m.config.Decay)
+	return ageWeight(now-source.heardAt, m.config.Freshness, m.config.Decay)
 }
 
-// Incarnation returns the incarnation that the reports have.
+// Incarnation returns the incarnation in the reports, which may be later than the configured one.
 func (m *Member) Incarnation() Incarnation { return m.config.Incarnation }
 
-// Superseded tells that an aggregator refuses this process, as a later one reports under the same name.
+// Superseded reports whether an aggregator refused this process because a later one reports under the same ID.
 func (m *Member) Superseded() bool { return m.superseded }
 
-// Counters returns what became of the datagrams and what was dropped.
+// Counters returns the counts since the start.
 func (m *Member) Counters() Counters {
 	counters := m.counters
-	counters.Stalls = m.guard.stalls
+	counters.Stalls = m.stallDetector.stalls
 	return counters
 }
--- a/internal/aggregation/memory_test.go
+++ b/internal/aggregation/memory_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// TestAggregatorMemory: an aggregator takes less than 16 bytes for each key of each member.
+// TestAggregatorMemory: an aggregator takes at most 16 heap bytes per key and member.
 func TestAggregatorMemory(t *testing.T) {
-	const members, keys = 200, 1000
-	names := slopeKeys(keys)
-	before := heapBytes()
-	a := slopeAggregator(t, 1)
-	fillAggregator(t, a, members, names)
-	used := (heapBytes() - before) / (members * keys)
-	t.Logf("%.1f bytes", used)
-	if used > 16 {
-		t.Errorf("%.1f bytes for each key of each member", used)
+	const members, keyCount = 200, 1000
+	keys := benchmarkKeys(keyCount)
+	before := heapBytesInUse()
+	a := newBenchmarkAggregator(t, 1)
+	reportAllKeys(t, a, members, keys)
+	bytesPerEntry := (heapBytesInUse() - before) / (members * keyCount)
+	t.Logf("%.1f bytes", bytesPerEntry)
+	if bytesPerEntry > 16 {
+		t.Errorf("%.1f bytes per key and member, at most 16 are allowed", bytesPerEntry)
 	}
 	runtime.KeepAlive(a)
-	runtime.KeepAlive(names)
+	runtime.KeepAlive(keys)
 }
--- a/internal/aggregation/property_test.go
+++ b/internal/aggregation/property_test.go
@@ -6,89 +6,89 @@
 	"time"
 )
 
-// schedule draws what happens to a simulated fleet.
-type schedule struct {
+// faultSchedule injects random faults into a simulated fleet.
+type faultSchedule struct {
 	*simulation
-	keys            []Key
-	withReplays     bool
-	regionCut       string
-	memberCut       *simulatedNode
-	aggregatorCut   *simulatedNode
-	startedAnew     int
-	replayed        int
-	frozenAndThawed int
+	keys                  []Key
+	withReplays           bool
+	partitionedRegion     string
+	partitionedMember     *simulatedNode
+	partitionedAggregator *simulatedNode
+	restarts              int
+	replays               int
+	unfreezes             int
 }
 
-func (s *schedule) cut(from, to *simulatedNode) bool {
-	if s.regionCut != "" && from.region != to.region && (from.region == s.regionCut || to.region == s.regionCut) {
+func (s *faultSchedule) isFaultyLink(from, to *simulatedNode) bool {
+	if s.partitionedRegion != "" && from.region != to.region && (from.region == s.partitionedRegion || to.region == s.partitionedRegion) {
 		return true
 	}
-	return (from == s.memberCut || to == s.memberCut) && (from == s.aggregatorCut || to == s.aggregatorCut)
+	return (from == s.partitionedMember || to == s.partitionedMember) && (from == s.partitionedAggregator || to == s.partitionedAggregator)
 }
 
-// disturb makes one thing happen, by chance.
-func (s *schedule) disturb() {
+// injectRandomFault draws and applies one change, fault, recovery or replay.
+func (s *faultSchedule) injectRandomFault() {
 	m := s.members[s.random.Intn(len(s.members))]
 	a := s.aggregators[s.random.Intn(len(s.aggregators))]
-	switch chance := s.random.Intn(1000); {
-	case chance < 300 && m.up:
+	switch draw := s.random.Intn(1000); {
+	case draw < 300 && m.up:
 		s.set(m, s.keys[s.random.Intn(len(s.keys))], uint64(s.random.Intn(3)*s.random.Intn(50)))
-	case chance < 310 && m.up:
+	case draw < 310 && m.up:
 		s.stopMember(m)
-	case chance < 330 && (!m.up || chance < 315):
+	case draw < 330 && (!m.up || draw < 315):
 		s.startMember(m)
-		s.startedAnew++
-	case chance < 334 && !s.withReplays:
+		s.restarts++
+	case draw < 334 && !s.withReplays:
 		a.up = false
-	case chance < 338 && !s.withReplays && !a.up:
+	case draw < 338 && !s.withReplays && !a.up:
 		s.startAggregator(a)
-		s.startedAnew++
-	case chance == 340 && a.up && !a.frozen:
+		s.restarts++
+	case draw == 340 && a.up && !a.frozen:
 		a.frozen = true
-	case chance == 341 && m.up && !m.frozen:
+	case draw == 341 && m.up && !m.frozen:
 		m.frozen = true
-	case chance < 350:
-		s.thawAll()
-	case chance == 350:
-		s.regionCut = s.aggregators[0].region
-	case chance == 351:
-		s.regionCut = ""
-	case chance == 352:
-		s.memberCut, s.aggregatorCut = &m.simulatedNode, &a.simulatedNode
-	case chance < 400 && s.withReplays && len(s.replayable) > 0:
-		s.replayed++
-		s.replayable[s.random.Intn(len(s.replayable))].replay()
+	case draw < 350:
+		s.unfreezeAll()
+	case draw == 350:
+		s.partitionedRegion = s.aggregators[0].region
+	case draw == 351:
+		s.partitionedRegion = ""
+	case draw == 352:
+		s.partitionedMember, s.partitionedAggregator = &m.simulatedNode, &a.simulatedNode
+	case draw < 400 && s.withReplays && len(s.recorded) > 0:
+		s.replays++
+		s.recorded[s.random.Intn(len(s.recorded))].replay()
 	}
 }
 
-// replay delivers a datagram again to the process that took it. A process that has just started can't tell an old
-// datagram from a new one.
+// replay delivers a datagram again if the process that received it is still running. A process that has just started
+// cannot tell a replayed datagram from a new one, so later processes are left out.
 func (p packet) replay() {
-	if p.to.up && !p.to.frozen && p.to.starts == p.toStart {
+	if p.to.up && !p.to.frozen && p.to.starts == p.toStarts {
 		p.deliver()
 	}
 }
 
-func (s *schedule) thawAll() {
+func (s *faultSchedule) unfreezeAll() {
 	for _, a := range s.aggregators {
 		if a.frozen {
-			s.thaw(&a.simulatedNode)
-			s.frozenAndThawed++
+			s.unfreeze(&a.simulatedNode)
+			s.unfreezes++
 		}
 	}
 	for _, m := range s.members {
 		if m.frozen {
-			s.thaw(&m.simulatedNode)
-			s.frozenAndThawed++
+			s.unfreeze(&m.simulatedNode)
+			s.unfreezes++
 		}
 	}
 }
 
-// endFaults lets the network be faultless, and starts what is down.
-func (s *schedule) endFaults() {
-	s.faults = faults{}
-	s.regionCut, s.memberCut, s.aggregatorCut = "", nil, nil
-	s.thawAll()
+// endFaults removes all network faults, unfreezes the frozen nodes and starts those that are down.
+func (s *faultSchedule) endFaults() {
+	s.faults = networkFaults{}
+	s.partitionedRegion, s.partitionedMember, s.partitionedAggregator = "", nil, nil
+	s.unfreezeAll()
 	for _, a := range s.aggregators {
 		if !a.up {
 			s.startAggregator(a)
@@ -101,36 +101,36 @@
 	}
 }
 
-// TestSchedules: over seeded schedules of changes, 5% loss, doubling, reordering, restarts, freezes, cuts and replays no
-// figure of any node is ever above what the members have held since its age plus its error, nor below it less its error
-// if all were heard; no aggregator has of a member what that process never had; and once the faults are over all figures
-// are exact within five turns of each of the three tables on the way.
+// TestSchedules runs seeded schedules of changes, 5% loss, duplication, reordering, restarts, freezes, partitions and
+// replays. No figure of any node may ever exceed what the members have held within its age plus its error, nor be below
+// that less its error if all members were heard. No aggregator may hold a value of a member that the member's process
+// never had. Once the faults end, all figures must be exact within five turns of each of the three tables on the path.
 func TestSchedules(t *testing.T) {
 	t.Parallel()
 	const seeds = 8
 	for seed := range int64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := &schedule{
-				simulation:  newSimulation(t, seed, layout{regions: 3, zones: 2, membersInZone: 2}),
-				keys:        someKeys(150),
+			s := &faultSchedule{
+				simulation:  newSimulation(t, seed, fleetLayout{regions: 3, zones: 2, membersInZone: 2}),
+				keys:        testKeys(150),
 				withReplays: seed%2 == 1,
 			}
-			s.tick, s.exchange = 40*time.Millisecond, 200*time.Millisecond
-			s.isCut, s.keepsOld = s.cut, s.withReplays
-			s.faults = faults{loss: 0.05, doubling: 0.05, delay: 300 * time.Millisecond}
-			s.fill(s.keys)
+			s.tick, s.exchangeInterval = 40*time.Millisecond, 200*time.Millisecond
+			s.isPartitioned, s.recordsForReplay = s.isFaultyLink, s.withReplays
+			s.faults = networkFaults{loss: 0.05, duplication: 0.05, maxDelay: 300 * time.Millisecond}
+			s.setRandomValues(s.keys)
 			s.run(25*time.Second, func() {
-				s.disturb()
+				s.injectRandomFault()
 				s.checkNoDoubleCount(s.keys[s.random.Intn(len(s.keys)):][:1])
 				s.checkTables(s.aggregators[s.random.Intn(len(s.aggregators))])
 			})
 			s.endFaults()
 			s.packets = nil
 			const datagramsPerTurn = 3
-			within := 5 * datagramsPerTurn * (s.report + s.exchange + s.digest)
-			took := s.settle(within, s.keys)
-			t.Logf("exact after %v; %d starts, %d freezes, %d replays", took, s.startedAnew, s.frozenAndThawed, s.replayed)
+			limit := 5 * datagramsPerTurn * (s.reportInterval + s.exchangeInterval + s.digestInterval)
+			duration := s.runUntilExact(limit, s.keys)
+			t.Logf("exact after %v; %d starts, %d freezes, %d replays", duration, s.restarts, s.unfreezes, s.replays)
 		})
 	}
 }
--- a/internal/aggregation/region.go
+++ b/internal/aggregation/region.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// peerSource has the region sums of one other aggregator.
+// peerSource holds the region sums received from one other aggregator.
 type peerSource struct {
 	peer        Peer
-	known       bool
+	known       bool // a valid datagram of it was received
 	incarnation Incarnation
-	heardAt     time.Duration
-	members     uint32
-	heard       float64 // share of them, as the latest datagram says
-	fading      uint64
-	table       inbox[uint64]
+	heardAt     time.Duration // receipt of the datagram with the largest number
+	members     uint32        // known members of its region, according to that datagram
+	heardShare  float64       // share of them that were heard, according to the latest datagram
+	fading      uint64        // Fading of the latest datagram
+	table       receiveTable[uint64]
 
-	membersBefore uint32 // that it knew before it was started again
-	restartedAt   time.Duration
+	membersBeforeRestart uint32        // members it knew before its latest restart
+	restartedAt          time.Duration // when that restart was noticed
 }
 
-// region chooses one source for the sums of a region. Two are never added up or mixed by key, so that what a member
-// reports to both aggregators of its region counts once.
+// region selects one source for the sums of a region. The sums of two sources are never added or mixed by key, so that
+// what a member reports to both aggregators of its region counts once.
 type region struct {
-	name    string
-	isOwn   bool // the aggregator itself is one of the sources
-	sources []*peerSource
-	inUse   AggregatorID
+	name        string
+	isOwn       bool // this aggregator's own sums are one of the candidates
+	sources     []*peerSource
+	sourceInUse AggregatorID
 }
 
-// receive takes a part of the peer's sums.
+// receive processes a datagram of the peer's sums. A later incarnation replaces all that was received before.
 func (p *peerSource) receive(sum *RegionSum, heardAt time.Duration) (outcome Outcome, dropped int) {
 	switch {
 	case p.known && sum.Incarnation < p.incarnation:
@@ -38,59 +38,59 @@
 	case sum.Incarnation > p.incarnation:
 		p.table.clear()
 		p.incarnation = sum.Incarnation
-		p.membersBefore, p.restartedAt = p.members, heardAt
+		p.membersBeforeRestart, p.restartedAt = p.members, heardAt
 	}
 	p.known = true
-	if sum.Number > uint64(p.table.highest) {
+	if sum.Number > uint64(p.table.latestNumber) {
 		p.heardAt = max(p.heardAt, heardAt)
-		p.members, p.heard, p.fading = sum.Members, sum.Heard, sum.Fading
+		p.members, p.heardShare, p.fading = sum.Members, sum.Heard, sum.Fading
 	}
-	return p.table.receive(header{
-		number:  uint32(sum.Number),
-		since:   uint32(sum.Since),
-		keys:    sum.Keys,
-		quality: quality{asOf: heardAt - sum.Age, bound: sum.Slack + sum.Fading, heard: sum.Heard},
+	return p.table.receive(tableHeader{
+		number:      uint32(sum.Number),
+		since:       uint32(sum.Since),
+		nonzeroKeys: sum.Keys,
+		quality:     quality{asOf: heardAt - sum.Age, errorBound: sum.Slack + sum.Fading, heardShare: sum.Heard},
 	}, sum.Entries)
 }
 
-// heardMembers returns how many members the received sums are from, each by the share of its keys.
+// heardMembers returns the number of members that the received sums cover, scaled by the share of the keys received.
 func (p *peerSource) heardMembers() float64 {
-	return float64(p.members) * p.table.worst().heard * p.table.complete()
+	return float64(p.members) * p.table.worstQuality().heardShare * p.table.receivedShare()
 }
 
-// candidate returns how good the peer's sums are.
+// candidate returns the peer's sums as a candidate for the region's source.
 func (p *peerSource) candidate(now, freshness time.Duration) candidate {
 	return candidate{
-		id:     p.peer.ID,
-		heard:  p.heardMembers(),
-		silent: !p.known || isSilent(now-p.heardAt, freshness),
+		id:           p.peer.ID,
+		heardMembers: p.heardMembers(),
+		silent:       !p.known || isSilent(now-p.heardAt, freshness),
 	}
 }
 
-// newRegions returns the regions of an aggregator and its peers, in order of their names.
+// newRegions returns the regions of an aggregator and its peers, sorted by name.
 func newRegions(config *AggregatorConfig, sources []*peerSource) []*region {
-	regions := []*region{{name: config.Region, isOwn: true, inUse: config.ID}}
+	regions := []*region{{name: config.Region, isOwn: true, sourceInUse: config.ID}}
 	for _, source := range sources {
-		at := slices.IndexFunc(regions, func(r *region) bool { return r.name == source.peer.Region })
-		if at < 0 {
-			at = len(regions)
+		position := slices.IndexFunc(regions, func(r *region) bool { return r.name == source.peer.Region })
+		if position < 0 {
+			position = len(regions)
 			regions = append(regions, &region{name: source.peer.Region})
 		}
-		regions[at].sources = append(regions[at].sources, source)
+		regions[position].sources = append(regions[position].sources, source)
 	}
 	slices.SortFunc(regions, func(a, b *region) int { return strings.Compare(a.name, b.name) })
 	return regions
 }
 
-// source returns the peer in use; nil if it is the aggregator itself, or none yet.
-func (r *region) source() *peerSource {
+// peerInUse returns the peer whose sums are used; nil if this aggregator's own are used, or none yet.
+func (r *region) peerInUse() *peerSource {
 	for _, source := range r.sources {
-		if source.peer.ID == r.inUse {
+		if source.peer.ID == r.sourceInUse {
 			return source
 		}
 	}
 	return nil
 }
 
-// usesOwn tells whether the aggregator's own sums are those that count.
-func (r *region) usesOwn() bool { return r.isOwn && r.source() == nil }
+// usesOwnSums reports whether this aggregator's own sums are used for the region.
+func (r *region) usesOwnSums() bool { return r.isOwn && r.peerInUse() == nil }
--- a/internal/aggregation/scenario_test.go
+++ b/internal/aggregation/scenario_test.go
@@ -6,125 +6,128 @@
 	"time"
 )
 
-// afterStart is by when a fleet's figures are exact after a start: an aggregator takes the freshness to know its members.
-const afterStart = testFreshness + time.Second
+// timeToExactAfterStart is how long after a start a fleet's figures are exact: for the freshness an aggregator does not
+// assume that it knows all its members.
+const timeToExactAfterStart = testFreshness + time.Second
 
-func calmFleet(t *testing.T, l layout, keys []Key) *simulation {
+func newExactFleet(t *testing.T, layout fleetLayout, keys []Key) *simulation {
 	t.Helper()
-	s := newSimulation(t, 1, l)
-	s.fill(keys)
-	s.settle(afterStart, keys)
+	s := newSimulation(t, 1, layout)
+	s.setRandomValues(keys)
+	s.runUntilExact(timeToExactAfterStart, keys)
 	return s
 }
 
-// TestCalm: all figures are the truth soon after the start, and follow a change.
+// TestCalm: without faults all figures are exact soon after the start, follow changes, and stay exact.
 func TestCalm(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(20)
-	s := calmFleet(t, layout{regions: 3, zones: 2, membersInZone: 3}, keys)
+	keys := testKeys(20)
+	s := newExactFleet(t, fleetLayout{regions: 3, zones: 2, membersInZone: 3}, keys)
 	s.set(s.members[4], keys[3], 100000)
-	t.Log("a change after", s.settle(time.Second, keys))
+	t.Log("a change after", s.runUntilExact(time.Second, keys))
 	s.set(s.members[4], keys[3], 0)
-	t.Log("a fall to 0 after", s.settle(time.Second, keys))
-	s.run(20*time.Second, s.staysExact(keys))
+	t.Log("a fall to 0 after", s.runUntilExact(time.Second, keys))
+	s.run(20*time.Second, s.checkExactByKey(keys))
 }
 
-// TestOneAggregatorKilled: no figure ever changes as one aggregator of a region dies, and soon changes go by the other.
+// TestOneAggregatorKilled: when one aggregator of a region dies, no figure changes, and changes soon arrive by the
+// other one.
 func TestOneAggregatorKilled(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(20)
+	keys := testKeys(20)
 	for killed := range 2 {
-		s := calmFleet(t, layout{regions: 3, zones: 2, membersInZone: 3}, keys)
+		s := newExactFleet(t, fleetLayout{regions: 3, zones: 2, membersInZone: 3}, keys)
 		s.aggregators[killed].up = false
-		s.run(testFreshness/2+2*time.Second, s.staysExact(keys))
+		s.run(testFreshness/2+2*time.Second, s.checkExactByKey(keys))
 		s.set(s.members[0], keys[3], 100000)
-		s.settle(time.Second, keys)
-		s.run(15*time.Second, s.staysExact(keys))
+		s.runUntilExact(time.Second, keys)
+		s.run(15*time.Second, s.checkExactByKey(keys))
 	}
 }
 
-// TestBothAggregatorsKilled: what the region holds fades from the others' figures in the stated time, which say so, its
-// own members have what they hold themselves, and all is exact again soon after both were started empty.
+// TestBothAggregatorsKilled: without its aggregators, a region's part of the other regions' figures falls to 0 over
+// freshness and decay, within their stated errors. The region's own members return their own values. All figures are
+// exact again soon after both aggregators were restarted without state.
 func TestBothAggregatorsKilled(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(20)
-	s := calmFleet(t, layout{regions: 3, zones: 2, membersInZone: 3}, keys)
-	all := float64(s.truth(keys[0]))
-	lost := 0.0
+	keys := testKeys(20)
+	s := newExactFleet(t, fleetLayout{regions: 3, zones: 2, membersInZone: 3}, keys)
+	fleetSum := float64(s.expectedSum(keys[0]))
+	regionPart := 0.0
 	for _, m := range s.members[:6] {
-		lost += float64(m.history[keys[0]][0].value)
+		regionPart += float64(m.history[keys[0]][0].value)
 	}
 	s.aggregators[0].up, s.aggregators[1].up = false, false
 	other := s.members[6]
-	before := all
+	previousValue := fleetSum
 	s.run(testFreshness+testDecay+time.Second, func() {
 		f := other.Figure(s.now, keys[0])
-		if f.Value > before+1 || f.Value < all-lost || math.Abs(f.Value-(all-lost)) > f.Error && math.Abs(f.Value-all) > f.Error {
-			t.Fatalf("%v: %+v of %v, %v without the region", s.now, f, all, all-lost)
+		if f.Value > previousValue+1 || f.Value < fleetSum-regionPart || math.Abs(f.Value-(fleetSum-regionPart)) > f.Error && math.Abs(f.Value-fleetSum) > f.Error {
+			t.Fatalf("%v: %+v, fleet sum %v, without the region %v", s.now, f, fleetSum, fleetSum-regionPart)
 		}
-		before = f.Value
+		previousValue = f.Value
 	})
-	if f := other.Figure(s.now, keys[0]); f.Value != all-lost || f.Error != 0 || math.Abs(f.Heard-2./3) > 0.001 {
-		t.Errorf("of %v, %v without the region, %+v", all, all-lost, f)
+	if f := other.Figure(s.now, keys[0]); f.Value != fleetSum-regionPart || f.Error != 0 || math.Abs(f.Heard-2./3) > 0.001 {
+		t.Errorf("fleet sum %v, without the region %v, figure %+v", fleetSum, fleetSum-regionPart, f)
 	}
 	state := other.Regions(s.now)[0]
 	if state.Region != "region0" || state.Members != 6 || state.Weight != 0 || state.Heard != 0 || state.Age < testFreshness+testDecay {
-		t.Errorf("the region's state is %+v", state)
+		t.Errorf("state of the region: %+v", state)
 	}
 	own := float64(s.members[0].history[keys[0]][0].value)
 	if f := s.members[0].Figure(s.now, keys[0]); f.Value != own || f.Heard != 0 {
-		t.Errorf("a member without aggregators has %+v, and itself %v", f, own)
+		t.Errorf("a member without aggregators returns %+v, want its own value %v", f, own)
 	}
 	s.startAggregator(s.aggregators[0])
 	s.startAggregator(s.aggregators[1])
-	s.settle(afterStart, keys)
+	s.runUntilExact(timeToExactAfterStart, keys)
 }
 
-// TestRestartedEmpty: while an aggregator that was started again is empty, all go on with the full one, and nobody uses
-// it before it has heard as much. Members return to it after a while.
+// TestRestartedEmpty: while a restarted aggregator has no state, all nodes use the other aggregator of its region, and
+// none uses it before it has heard as many members. Members that preferred it return to it later.
 func TestRestartedEmpty(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(150)
-	s := calmFleet(t, layout{regions: 3, zones: 2, membersInZone: 3}, keys)
+	keys := testKeys(150)
+	s := newExactFleet(t, fleetLayout{regions: 3, zones: 2, membersInZone: 3}, keys)
 	s.tick = 50 * time.Millisecond
 	restarted := s.aggregators[0]
 	if state := s.aggregators[2].Regions(s.now)[0]; state.Source != restarted.config.ID {
-		t.Fatalf("the test restarts %s, but in use is %d", restarted.name, state.Source)
+		t.Fatalf("the test restarts %s, but the source in use is %d", restarted.name, state.Source)
 	}
-	subscribers := s.subscribers(restarted)
+	subscribers := s.countSubscribers(restarted)
 	if subscribers == 0 {
-		t.Fatalf("nobody subscribes to %s", restarted.name)
+		t.Fatalf("no member subscribes to %s", restarted.name)
 	}
 	s.startAggregator(restarted)
 	inUseAgain := false
 	s.run(testFreshness+testDecay+20*time.Second, func() {
-		heard := restarted.RegionSumHeard(s.now)
-		// Its digests may be used before that, as its own sums of the region are then those of the full one.
+		heard := restarted.regionHeardShare(s.now)
+		// Its digests may be used earlier: it takes its own region's sums from the other aggregator until then.
 		digestHeard := heardShare(restarted.Regions(s.now))
 		for _, m := range s.members[:6] {
-			knows := s.now-restarted.startedAt > s.heartbeat+s.report+2*s.tick // by the first heartbeat
-			if m.subscription.current == restarted.config.ID && digestHeard < 0.95 && knows {
-				t.Fatalf("%v: %s subscribes to an aggregator that heard %v", s.now, m.name, digestHeard)
+			hasHeartbeat := s.now-restarted.startedAt > s.heartbeatInterval+s.reportInterval+2*s.tick // the member has received its first heartbeat
+			if m.subscription.current == restarted.config.ID && digestHeard < 0.95 && hasHeartbeat {
+				t.Fatalf("%v: %s subscribes to an aggregator with a heard share of %v", s.now, m.name, digestHeard)
 			}
 		}
 		for _, a := range s.aggregators[1:] {
-			if f := a.Figure(s.now, keys[0]); f.Value != float64(s.truth(keys[0])) {
-				t.Fatalf("%v: %s has %+v of %v", s.now, a.name, f, s.truth(keys[0]))
+			if f := a.Figure(s.now, keys[0]); f.Value != float64(s.expectedSum(keys[0])) {
+				t.Fatalf("%v: %s: figure %+v, want %v", s.now, a.name, f, s.expectedSum(keys[0]))
 			}
 			isInUse := a.Regions(s.now)[0].Source == restarted.config.ID
 			inUseAgain = inUseAgain || isInUse && heard > 0.99
-			// The peers know of its start by the first datagram that comes; until then they use what it sent before.
-			if isInUse && heard < 0.95 && s.now-restarted.startedAt > 2*s.exchange {
-				t.Fatalf("%v: %s uses an aggregator that heard %v", s.now, a.name, heard)
+			// Peers notice the restart with the first datagram; until then they use the sums that it sent before.
+			if isInUse && heard < 0.95 && s.now-restarted.startedAt > 2*s.exchangeInterval {
+				t.Fatalf("%v: %s uses an aggregator with a heard share of %v", s.now, a.name, heard)
 			}
 		}
 		for _, m := range s.members {
-			if f := m.Figure(s.now, keys[0]); f.Value != float64(s.truth(keys[0])) {
-				t.Fatalf("%v: %s has %+v of %v", s.now, m.name, f, s.truth(keys[0]))
+			if f := m.Figure(s.now, keys[0]); f.Value != float64(s.expectedSum(keys[0])) {
+				t.Fatalf("%v: %s: figure %+v, want %v", s.now, m.name, f, s.expectedSum(keys[0]))
 			}
 		}
 	})
-	if n := s.subscribers(restarted); n != subscribers {
+	if n := s.countSubscribers(restarted); n != subscribers {
 		t.Errorf("%d members subscribe to it, %d before", n, subscribers)
 	}
 	s.aggregators[1].up = false
@@ -132,7 +135,7 @@
 	s.checkExact(keys)
 }
 
-func (s *simulation) subscribers(a *simulatedAggregator) (n int) {
+func (s *simulation) countSubscribers(a *simulatedAggregator) (n int) {
 	for _, m := range s.members {
 		if m.Member.subscription.current == a.config.ID {
 			n++
@@ -141,17 +144,17 @@
 	return n
 }
 
-// RegionSumHeard returns what share of its members an aggregator heard.
-func (a *simulatedAggregator) RegionSumHeard(now time.Duration) float64 {
-	return a.summary(now).share()
+// regionHeardShare returns the share of its known members that an aggregator heard.
+func (a *simulatedAggregator) regionHeardShare(now time.Duration) float64 {
+	return a.summary(now).heardShare()
 }
 
-// TestFrozen: an aggregator is stopped for 10 s, and goes on with old sums and the reports that waited for it. Nobody
-// counts them: all use the other one, and this one again once it has heard the members anew.
+// TestFrozen: an aggregator is frozen for 10 s and continues with old sums and queued reports. No node counts them: all
+// use the other aggregator of the region, and this one only after it has received new reports from the members.
 func TestFrozen(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(20)
-	s := calmFleet(t, layout{regions: 3, zones: 2, membersInZone: 3}, keys)
+	keys := testKeys(20)
+	s := newExactFleet(t, fleetLayout{regions: 3, zones: 2, membersInZone: 3}, keys)
 	s.tick = 50 * time.Millisecond
 	frozen := s.aggregators[0]
 	frozen.frozen = true
@@ -160,39 +163,39 @@
 		s.set(m, keys[0], 1)
 	}
 	s.run(3*time.Second, func() { s.checkNoDoubleCount(keys[:1]) })
-	others := func() {
+	checkOthersExact := func() {
 		t.Helper()
 		for _, a := range s.aggregators[1:] {
 			if f := a.Figure(s.now, keys[0]); f.Value != float64(len(s.members)) {
-				t.Fatalf("%v: %s has %+v", s.now, a.name, f)
+				t.Fatalf("%v: %s: wrong figure %+v", s.now, a.name, f)
 			}
 		}
 		for _, m := range s.members {
 			if f := m.Figure(s.now, keys[0]); f.Value != float64(len(s.members)) {
-				t.Fatalf("%v: %s has %+v", s.now, m.name, f)
+				t.Fatalf("%v: %s: wrong figure %+v", s.now, m.name, f)
 			}
 		}
 	}
-	s.run(6*time.Second, others)
-	s.thaw(&frozen.simulatedNode)
+	s.run(6*time.Second, checkOthersExact)
+	s.unfreeze(&frozen.simulatedNode)
 	if f := frozen.Figure(s.now, keys[0]); f.Age < 9*time.Second || f.Heard > 0.7 {
-		t.Errorf("as it goes on it has %+v", f)
+		t.Errorf("after the freeze it returns %+v", f)
 	}
 	s.run(30*time.Second, func() {
-		others()
+		checkOthersExact()
 		s.checkNoDoubleCount(keys[:1])
 	})
 	s.checkExact(keys)
 	if frozen.Counters().Stalls != 1 {
-		t.Errorf("%d stalls", frozen.Counters().Stalls)
+		t.Errorf("%d stalls counted, want 1", frozen.Counters().Stalls)
 	}
 }
 
-// TestFrozenAlone: as TestFrozen, but the other one of the region is dead. The old sums go by their age.
+// TestFrozenAlone: like TestFrozen, but the other aggregator of the region is dead. The old sums expire by their age.
 func TestFrozenAlone(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(20)
-	s := calmFleet(t, layout{regions: 2, zones: 2, membersInZone: 3}, keys)
+	keys := testKeys(20)
+	s := newExactFleet(t, fleetLayout{regions: 2, zones: 2, membersInZone: 3}, keys)
 	s.aggregators[1].up = false
 	s.run(4*time.Second, nil)
 	s.aggregators[0].frozen = true
@@ -201,71 +204,71 @@
 		s.set(m, keys[0], 1)
 	}
 	s.run(9*time.Second, func() { s.checkNoDoubleCount(keys[:1]) })
-	s.thaw(&s.aggregators[0].simulatedNode)
+	s.unfreeze(&s.aggregators[0].simulatedNode)
 	s.run(5*time.Second, func() { s.checkNoDoubleCount(keys[:1]) })
 	s.checkExact(keys)
 }
 
-// TestTwoDisagree: two aggregators of a region hear different members. Figures are those of one of them, never a mixture,
-// and of the one that hears more if the difference is above the margin.
+// TestTwoDisagree: two aggregators of a region hear different members. Figures come from one of them and are never
+// mixed; they come from the one that hears more members if the ratio exceeds switchRatio.
 func TestTwoDisagree(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(20)
-	s := calmFleet(t, layout{regions: 2, zones: 1, membersInZone: 6}, keys)
-	cutFrom := func(n int, a *simulatedAggregator, from, to *simulatedNode) bool {
+	keys := testKeys(20)
+	s := newExactFleet(t, fleetLayout{regions: 2, zones: 1, membersInZone: 6}, keys)
+	isLinkBetween := func(n int, a *simulatedAggregator, from, to *simulatedNode) bool {
 		return from == &s.members[n].simulatedNode && to == &a.simulatedNode
 	}
-	s.isCut = func(from, to *simulatedNode) bool {
-		return cutFrom(0, s.aggregators[0], from, to) || cutFrom(1, s.aggregators[1], from, to) ||
-			cutFrom(2, s.aggregators[1], from, to)
+	s.isPartitioned = func(from, to *simulatedNode) bool {
+		return isLinkBetween(0, s.aggregators[0], from, to) || isLinkBetween(1, s.aggregators[1], from, to) ||
+			isLinkBetween(2, s.aggregators[1], from, to)
 	}
 	s.run(testFreshness+testDecay+5*time.Second, nil)
 	for _, key := range keys {
-		truth := s.truth(key)
-		without0 := float64(truth - s.members[0].own.value(key))
+		sum := s.expectedSum(key)
+		without0 := float64(sum - s.members[0].ownTable.value(key))
 		for _, a := range s.aggregators {
 			if f := a.Figure(s.now, key); f.Value != without0 || a.Regions(s.now)[0].Source != 1 {
-				t.Errorf("%s has %+v, not %v", a.name, f, without0)
+				t.Errorf("%s: figure %+v, want %v", a.name, f, without0)
 			}
 		}
 		for _, m := range s.members {
 			if f := m.Figure(s.now, key); f.Value != without0 {
-				t.Errorf("%s has %+v, not %v", m.name, f, without0)
+				t.Errorf("%s: figure %+v, want %v", m.name, f, without0)
 			}
 		}
 	}
 }
 
-// TestRegionCutOff: a region is cut off from the others for an hour. They say so, nobody sends more in any second than
-// before, and soon after its return all is exact.
+// TestRegionCutOff: a region is partitioned from the others for an hour. Figures and states show it, no node sends more
+// datagrams in any second than before, and all figures are exact soon after the partition ends.
 func TestRegionCutOff(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(10)
-	s := newSimulation(t, 1, layout{regions: 3, zones: 1, membersInZone: 2})
-	s.tick, s.report, s.exchange = 500*time.Millisecond, time.Second, time.Second
-	s.digest, s.heartbeat = time.Second, time.Second
-	s.fill(keys)
-	s.settle(afterStart+3*time.Second, keys)
-	most := map[*simulatedNode]int{}
-	second := func() {
-		s.sent = map[*simulatedNode]int{}
+	keys := testKeys(10)
+	s := newSimulation(t, 1, fleetLayout{regions: 3, zones: 1, membersInZone: 2})
+	s.tick, s.reportInterval, s.exchangeInterval = 500*time.Millisecond, time.Second, time.Second
+	s.digestInterval, s.heartbeatInterval = time.Second, time.Second
+	s.setRandomValues(keys)
+	s.runUntilExact(timeToExactAfterStart+3*time.Second, keys)
+	maxPerSecond := map[*simulatedNode]int{}
+	runSecond := func() {
+		s.sentDatagrams = map[*simulatedNode]int{}
 		s.run(time.Second, nil)
 	}
 	for range 4 {
-		second()
-		for node, n := range s.sent {
-			most[node] = max(most[node], n)
+		runSecond()
+		for node, n := range s.sentDatagrams {
+			maxPerSecond[node] = max(maxPerSecond[node], n)
 		}
 	}
 	checkedSecond := func() {
-		second()
-		for node, n := range s.sent {
-			if n > most[node] {
-				t.Fatalf("%v: %s sent %d datagrams in a second, %d before", s.now, node.name, n, most[node])
+		runSecond()
+		for node, n := range s.sentDatagrams {
+			if n > maxPerSecond[node] {
+				t.Fatalf("%v: %s sent %d datagrams in a second, %d before", s.now, node.name, n, maxPerSecond[node])
 			}
 		}
 	}
-	s.isCut = func(from, to *simulatedNode) bool {
+	s.isPartitioned = func(from, to *simulatedNode) bool {
 		return from.region != to.region && (from.region == "region0" || to.region == "region0")
 	}
 	for range 3600 {
@@ -276,13 +279,13 @@
 	for range 3 {
 		checkedSecond()
 	}
-	s.checkHalves(keys)
-	s.isCut = nil
+	s.checkPartitionedSums(keys)
+	s.isPartitioned = nil
 	start := s.now
-	for !s.exact(keys) {
+	for !s.isExact(keys) {
 		checkedSecond()
-		if s.now-start > 5*(s.exchange+s.digest) {
-			t.Fatalf("not exact %v after the return: %s", s.now-start, s.inexact(keys))
+		if s.now-start > 5*(s.exchangeInterval+s.digestInterval) {
+			t.Fatalf("not exact %v after the partition ended: %s", s.now-start, s.firstInexact(keys))
 		}
 	}
 	for range 20 {
@@ -291,26 +294,27 @@
 	}
 }
 
-// checkHalves: region 0 has its own sums, and the others theirs.
-func (s *simulation) checkHalves(keys []Key) {
+// checkPartitionedSums fails the test unless region 0 on the one side and the other regions on the other side each have
+// the sums over their own side only.
+func (s *simulation) checkPartitionedSums(keys []Key) {
 	s.t.Helper()
-	own := func(key Key, region string) (sum float64) {
+	partitionSum := func(key Key, region string) (sum float64) {
 		for _, m := range s.members {
 			if (m.region == "region0") == (region == "region0") {
-				sum += float64(m.own.value(key))
+				sum += float64(m.ownTable.value(key))
 			}
 		}
 		return sum
 	}
 	for _, m := range s.members {
-		heard := 2. / 3
+		heardShare := 2. / 3
 		if m.region == "region0" {
-			heard = 1. / 3
+			heardShare = 1. / 3
 		}
 		for _, key := range keys {
 			f := m.Figure(s.now, key)
-			if f.Value != own(key, m.region) || math.Abs(f.Heard-heard) > 0.001 || f.Age > testFreshness {
-				s.t.Errorf("%s has %+v of %v, not %v", m.name, f, key, own(key, m.region))
+			if f.Value != partitionSum(key, m.region) || math.Abs(f.Heard-heardShare) > 0.001 || f.Age > testFreshness {
+				s.t.Errorf("%s: figure %+v of key %v, want %v", m.name, f, key, partitionSum(key, m.region))
 			}
 		}
 		for _, state := range m.Regions(s.now) {
@@ -322,57 +326,59 @@
 	}
 }
 
-// TestHeardByOneOnly: a member that only one of the two aggregators hears counts once, and within the margin the figures
-// say what share was heard.
+// TestHeardByOneOnly: a member heard by only one of the two aggregators of a region counts once. If the difference is
+// within switchRatio, the aggregator without the member may stay in use, and the figures state the share that was
+// heard.
 func TestHeardByOneOnly(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(5)
-	s := calmFleet(t, layout{regions: 2, zones: 2, membersInZone: 3}, keys)
-	s.isCut = func(from, to *simulatedNode) bool {
+	keys := testKeys(5)
+	s := newExactFleet(t, fleetLayout{regions: 2, zones: 2, membersInZone: 3}, keys)
+	s.isPartitioned = func(from, to *simulatedNode) bool {
 		return from == &s.members[0].simulatedNode && to == &s.aggregators[0].simulatedNode
 	}
 	s.run(40*time.Second, func() { s.checkNoDoubleCount(keys[:1]) })
 	s.checkExact(keys)
 
-	s = calmFleet(t, layout{regions: 1, zones: 1, membersInZone: 60}, keys)
-	s.isCut = func(from, to *simulatedNode) bool {
+	s = newExactFleet(t, fleetLayout{regions: 1, zones: 1, membersInZone: 60}, keys)
+	s.isPartitioned = func(from, to *simulatedNode) bool {
 		return from == &s.members[0].simulatedNode && to == &s.aggregators[0].simulatedNode
 	}
 	s.run(testFreshness+testDecay+5*time.Second, nil)
 	f := s.aggregators[0].Figure(s.now, keys[0])
-	lacks := float64(s.truth(keys[0]) - s.members[0].own.value(keys[0]))
-	if f.Value != lacks || math.Abs(f.Heard-59./60) > 0.001 {
-		t.Errorf("within the margin %+v, not %v", f, lacks)
+	sumWithoutMember := float64(s.expectedSum(keys[0]) - s.members[0].ownTable.value(keys[0]))
+	if f.Value != sumWithoutMember || math.Abs(f.Heard-59./60) > 0.001 {
+		t.Errorf("difference within switchRatio: %+v, want %v", f, sumWithoutMember)
 	}
 }
 
-// TestZoneLost: what the members of a zone held counts in full for the freshness, then less and less, and is gone after
-// the decay.
+// TestZoneLost: the values of the members of a lost zone count in full for the freshness; then they fall to 0 over the
+// decay.
 func TestZoneLost(t *testing.T) {
 	t.Parallel()
-	keys := someKeys(5)
-	s := calmFleet(t, layout{regions: 2, zones: 2, membersInZone: 3}, keys)
-	all := float64(s.truth(keys[0]))
-	lost := 0.0
+	keys := testKeys(5)
+	s := newExactFleet(t, fleetLayout{regions: 2, zones: 2, membersInZone: 3}, keys)
+	fleetSum := float64(s.expectedSum(keys[0]))
+	zonePart := 0.0
 	for _, m := range s.members[:3] {
-		lost += float64(m.own.value(keys[0]))
+		zonePart += float64(m.ownTable.value(keys[0]))
 		m.up = false
 	}
 	start := s.now
 	other := s.members[11]
 	s.run(testFreshness+testDecay+2*time.Second, func() {
 		f := other.Figure(s.now, keys[0])
-		// The lost members sent their last reports up to an interval before, and two more hops take an interval each.
-		late := s.report + s.exchange + s.digest + 3*s.tick
-		passed := s.now - start
-		atMost := all - lost + lost*weight(passed-late, testFreshness, testDecay) + 2
-		atLeast := all - lost + lost*weight(passed+s.report, testFreshness, testDecay) - 2
-		if f.Value > atMost || f.Value < atLeast || f.Value+f.Error < all-1 && passed < testFreshness {
-			t.Fatalf("after %v %+v, not from %v to %v", passed, f, atLeast, atMost)
+		// The lost members sent their last reports up to one interval earlier, and the two further hops take up to one
+		// interval each.
+		maxDelay := s.reportInterval + s.exchangeInterval + s.digestInterval + 3*s.tick
+		elapsed := s.now - start
+		atMost := fleetSum - zonePart + zonePart*ageWeight(elapsed-maxDelay, testFreshness, testDecay) + 2
+		atLeast := fleetSum - zonePart + zonePart*ageWeight(elapsed+s.reportInterval, testFreshness, testDecay) - 2
+		if f.Value > atMost || f.Value < atLeast || f.Value+f.Error < fleetSum-1 && elapsed < testFreshness {
+			t.Fatalf("after %v: %+v, want a value from %v to %v", elapsed, f, atLeast, atMost)
 		}
-		if passed > testFreshness+late && passed < testFreshness+testDecay-s.report {
-			if math.Abs(f.Heard-9./12) > 0.001 || f.Value-(all-lost) > f.Error {
-				t.Fatalf("after %v %+v: %v without the zone", passed, f, all-lost)
+		if elapsed > testFreshness+maxDelay && elapsed < testFreshness+testDecay-s.reportInterval {
+			if math.Abs(f.Heard-9./12) > 0.001 || f.Value-(fleetSum-zonePart) > f.Error {
+				t.Fatalf("after %v: %+v, sum without the zone %v", elapsed, f, fleetSum-zonePart)
 			}
 		}
 	})
--- a/internal/aggregation/simulation_test.go
+++ b/internal/aggregation/simulation_test.go
@@ -13,40 +13,42 @@
 	testDecay     = 10 * time.Second
 )
 
-// simulation drives a fleet by a clock of its own, over a network that loses, doubles and delays.
+// simulation runs a fleet on a simulated clock and over a simulated network that loses, duplicates and delays
+// datagrams.
 type simulation struct {
-	t           testing.TB
-	random      *rand.Rand
-	now         time.Duration
-	tick        time.Duration
-	report      time.Duration
-	exchange    time.Duration
-	digest      time.Duration
-	heartbeat   time.Duration
-	aggregators []*simulatedAggregator
-	members     []*simulatedMember
-	packets     []packet
-	faults      faults
-	isCut       func(from, to *simulatedNode) bool // may be nil
-	sent        map[*simulatedNode]int             // datagrams
-	replayable  []packet                           // datagrams of before
-	keepsOld    bool
-}
-
-// faults of the network while they last.
-type faults struct {
-	loss, doubling float64
-	delay          time.Duration // at most
+	t                 testing.TB
+	random            *rand.Rand
+	now               time.Duration
+	tick              time.Duration
+	reportInterval    time.Duration
+	exchangeInterval  time.Duration
+	digestInterval    time.Duration
+	heartbeatInterval time.Duration
+	aggregators       []*simulatedAggregator
+	members           []*simulatedMember
+	packets           []packet
+	faults            networkFaults
+	isPartitioned     func(from, to *simulatedNode) bool // may be nil
+	sentDatagrams     map[*simulatedNode]int             // by sender
+	recorded          []packet                           // delivered datagrams, for replays
+	recordsForReplay  bool
+}
+
+// networkFaults configures the faults of the simulated network. Loss and duplication are probabilities for each
+// datagram.
+type networkFaults struct {
+	loss, duplication float64
+	maxDelay          time.Duration // each datagram is delayed by a random time below it
 }
 
 type simulatedNode struct {
-	name    string
-	region  string
-	zone    string
-	up      bool
-	frozen  bool
-	starts  int
-	waiting []packet // that came while it was frozen
+	name   string
+	region string
+	zone   string
+	up     bool
+	frozen bool
+	starts int
+	queued []packet // datagrams that arrived while it was frozen
 }
 
 type simulatedAggregator struct {
@@ -58,70 +60,70 @@
 type simulatedMember struct {
 	simulatedNode
 	*Member
-	config  MemberConfig
-	offset  time.Duration
-	history map[Key][]change
-	had     map[past]bool
+	config       MemberConfig
+	reportOffset time.Duration
+	history      map[Key][]timedValue
+	heldValues   map[heldValue]bool
 
-	unknownAt time.Duration // the last time at which no aggregator knew it
+	lastUnknownAt time.Duration // latest time at which no aggregator knew it
 }
 
-// past is a value that a process of a member had.
-type past struct {
+// heldValue is a value that a member held under an incarnation.
+type heldValue struct {
 	incarnation Incarnation
 	key         Key
 	value       uint64
 }
 
-// change is a value from a time on.
-type change struct {
+// timedValue is a value that was held from a time on.
+type timedValue struct {
 	at    time.Duration
 	value uint64
 }
 
 type packet struct {
-	at       time.Duration
-	from, to *simulatedNode
-	toStart  int // which start of the receiver took it
-	deliver  func()
+	deliverAt time.Duration
+	from, to  *simulatedNode
+	toStarts  int // value of to.starts at the delivery
+	deliver   func()
 }
 
-// layout says how many of what a simulation has.
-type layout struct {
+// fleetLayout is the size of a simulated fleet. Each region has two aggregators.
+type fleetLayout struct {
 	regions, zones, membersInZone int
 	maxKeys                       int
 }
 
-func newSimulation(t testing.TB, seed int64, l layout) *simulation {
+func newSimulation(t testing.TB, seed int64, layout fleetLayout) *simulation {
 	s := &simulation{
 		t: t, random: rand.New(rand.NewSource(seed)),
 		now: time.Hour, tick: 20 * time.Millisecond,
-		report: 400 * time.Millisecond, exchange: 100 * time.Millisecond,
-		digest: 180 * time.Millisecond, heartbeat: time.Second,
-		sent: map[*simulatedNode]int{},
+		reportInterval: 400 * time.Millisecond, exchangeInterval: 100 * time.Millisecond,
+		digestInterval: 180 * time.Millisecond, heartbeatInterval: time.Second,
+		sentDatagrams: map[*simulatedNode]int{},
 	}
-	if l.maxKeys == 0 {
-		l.maxKeys = 1000
+	if layout.maxKeys == 0 {
+		layout.maxKeys = 1000
 	}
-	var all []Peer
-	for i := range 2 * l.regions {
-		all = append(all, Peer{AggregatorID(i + 1), fmt.Sprint("region", i/2)})
+	var allAggregators []Peer
+	for i := range 2 * layout.regions {
+		allAggregators = append(allAggregators, Peer{AggregatorID(i + 1), fmt.Sprint("region", i/2)})
 	}
-	for _, self := range all {
+	for _, self := range allAggregators {
 		config := AggregatorConfig{
-			ID: self.ID, Region: self.Region, Incarnation: 1, MaxMembers: 1000, MaxKeys: l.maxKeys,
-			MaxMemberKeys: l.maxKeys, ChangeShare: 0.1, Freshness: testFreshness, Decay: testDecay,
-			Peers: slices.DeleteFunc(slices.Clone(all), func(p Peer) bool { return p.ID == self.ID }),
+			ID: self.ID, Region: self.Region, Incarnation: 1, MaxMembers: 1000, MaxKeys: layout.maxKeys,
+			MaxMemberKeys: layout.maxKeys, ChangeShare: 0.1, Freshness: testFreshness, Decay: testDecay,
+			Peers: slices.DeleteFunc(slices.Clone(allAggregators), func(p Peer) bool { return p.ID == self.ID }),
 		}
 		node := simulatedNode{name: fmt.Sprint("aggregator", self.ID), region: self.Region}
 		a := &simulatedAggregator{simulatedNode: node, config: config}
 		s.aggregators = append(s.aggregators, a)
 		s.startAggregator(a)
 	}
-	for region := range l.regions {
-		for zone := range l.zones {
-			for range l.membersInZone {
-				s.addMember(fmt.Sprint("region", region), fmt.Sprint("zone", zone), l.maxKeys)
+	for region := range layout.regions {
+		for zone := range layout.zones {
+			for range layout.membersInZone {
+				s.addMember(fmt.Sprint("region", region), fmt.Sprint("zone", zone), layout.maxKeys)
 			}
 		}
 	}
@@ -140,8 +142,8 @@
 	}
 	m := &simulatedMember{
 		simulatedNode: simulatedNode{name: fmt.Sprint("member", config.ID), region: region, zone: zone},
-		config:        config, history: map[Key][]change{}, had: map[past]bool{},
-		offset: time.Duration(s.random.Int63n(int64(s.report))),
+		config:        config, history: map[Key][]timedValue{}, heldValues: map[heldValue]bool{},
+		reportOffset: time.Duration(s.random.Int63n(int64(s.reportInterval))),
 	}
 	s.members = append(s.members, m)
 	s.startMember(m)
@@ -155,10 +157,10 @@
 	}
 	a.config.Incarnation++
 	a.starts++
-	a.up, a.frozen, a.waiting = true, false, nil
+	a.up, a.frozen, a.queued = true, false, nil
 }
 
-// startMember starts a process that holds nothing.
+// startMember starts a new process of a member, without values.
 func (s *simulation) startMember(m *simulatedMember) {
 	var err error
 	m.config.Incarnation++
@@ -166,50 +168,50 @@
 		s.t.Fatal(err)
 	}
 	m.starts++
-	m.up, m.frozen, m.waiting = true, false, nil
-	s.loseValues(m)
+	m.up, m.frozen, m.queued = true, false, nil
+	s.recordValuesLost(m)
 }
 
 func (s *simulation) stopMember(m *simulatedMember) {
 	m.up = false
-	s.loseValues(m)
+	s.recordValuesLost(m)
 }
 
-func (s *simulation) loseValues(m *simulatedMember) {
+func (s *simulation) recordValuesLost(m *simulatedMember) {
 	for key := range m.history {
-		s.note(m, key, 0)
+		s.recordValue(m, key, 0)
 	}
 }
 
-func (s *simulation) note(m *simulatedMember, key Key, value uint64) {
-	m.history[key] = append(m.history[key], change{s.now, value})
-	m.had[past{m.Incarnation(), key, value}] = true
+func (s *simulation) recordValue(m *simulatedMember, key Key, value uint64) {
+	m.history[key] = append(m.history[key], timedValue{s.now, value})
+	m.heldValues[heldValue{m.Incarnation(), key, value}] = true
 }
 
 func (s *simulation) set(m *simulatedMember, key Key, value uint64) {
 	if m.Set(key, value) {
-		s.note(m, key, value)
+		s.recordValue(m, key, value)
 	}
 }
 
-// truth is what all members that are up hold of a key.
-func (s *simulation) truth(key Key) (sum uint64) {
+// expectedSum returns the exact sum of a key over all members that are up.
+func (s *simulation) expectedSum(key Key) (sum uint64) {
 	for _, m := range s.members {
-		if h := m.history[key]; len(h) > 0 {
-			sum += h[len(h)-1].value
+		if history := m.history[key]; len(history) > 0 {
+			sum += history[len(history)-1].value
 		}
 	}
 	return sum
 }
 
-// largestSince adds up the largest value that each member had of a key since a time.
-func (s *simulation) largestSince(key Key, since time.Duration) (sum uint64) {
+// sumOfLargestSince returns the sum of the largest values that each member held of a key since a time.
+func (s *simulation) sumOfLargestSince(key Key, since time.Duration) (sum uint64) {
 	for _, m := range s.members {
 		largest := uint64(0)
-		h := m.history[key]
-		for i := len(h) - 1; i >= 0; i-- {
-			largest = max(largest, h[i].value)
-			if h[i].at <= since {
+		history := m.history[key]
+		for i := len(history) - 1; i >= 0; i-- {
+			largest = max(largest, history[i].value)
+			if history[i].at <= since {
 				break
 			}
 		}
@@ -218,18 +220,18 @@
 	return sum
 }
 
-// smallestSince adds up the smallest value that each member had of a key since a time. A member that was frozen or cut
-// off for so long that all had forgotten it was not among the known ones.
-func (s *simulation) smallestSince(key Key, since time.Duration) (sum uint64) {
+// sumOfSmallestSince returns the sum of the smallest values that each member held of a key since a time. It leaves out
+// members that were frozen or cut off for so long that no aggregator knew them at some time since then.
+func (s *simulation) sumOfSmallestSince(key Key, since time.Duration) (sum uint64) {
 	for _, m := range s.members {
-		h := m.history[key]
-		if len(h) == 0 || m.unknownAt >= since {
+		history := m.history[key]
+		if len(history) == 0 || m.lastUnknownAt >= since {
 			continue
 		}
-		smallest := h[len(h)-1].value
-		for i := len(h) - 1; i >= 0; i-- {
-			smallest = min(smallest, h[i].value)
-			if h[i].at <= since {
+		smallest := history[len(history)-1].value
+		for i := len(history) - 1; i >= 0; i-- {
+			smallest = min(smallest, history[i].value)
+			if history[i].at <= since {
 				break
 			}
 		}
@@ -238,40 +240,40 @@
 	return sum
 }
 
-// isKnown tells whether some aggregator knows a member.
-func (s *simulation) isKnown(m *simulatedMember) bool {
+// isKnownToAnAggregator reports whether a running aggregator knows a member.
+func (s *simulation) isKnownToAnAggregator(m *simulatedMember) bool {
 	return slices.ContainsFunc(s.aggregators, func(a *simulatedAggregator) bool {
 		return a.up && a.membership.members[m.config.ID] != nil
 	})
 }
 
-// send puts a datagram on its way.
+// send puts a datagram on the network, unless it is lost.
 func (s *simulation) send(from, to *simulatedNode, deliver func()) {
-	s.sent[from]++
+	s.sentDatagrams[from]++
 	p := packet{from: from, to: to, deliver: deliver}
-	if s.isCut != nil && s.isCut(from, to) || s.random.Float64() < s.faults.loss {
+	if s.isPartitioned != nil && s.isPartitioned(from, to) || s.random.Float64() < s.faults.loss {
 		return
 	}
 	copies := 1
-	if s.random.Float64() < s.faults.doubling {
+	if s.random.Float64() < s.faults.duplication {
 		copies = 2
 	}
 	for range copies {
-		p.at = s.now
-		if s.faults.delay > 0 {
-			p.at += time.Duration(s.random.Int63n(int64(s.faults.delay)))
+		p.deliverAt = s.now
+		if s.faults.maxDelay > 0 {
+			p.deliverAt += time.Duration(s.random.Int63n(int64(s.faults.maxDelay)))
 		}
 		s.packets = append(s.packets, p)
 	}
 }
 
-// step goes on by one tick.
+// step advances the simulation by one tick.
 func (s *simulation) step() {
 	s.now += s.tick
 	s.deliverDue()
 	for _, m := range s.members {
-		if !s.isKnown(m) {
-			m.unknownAt = s.now
+		if !s.isKnownToAnAggregator(m) {
+			m.lastUnknownAt = s.now
 		}
 	}
 	for _, a := range s.aggregators {
@@ -280,7 +282,7 @@
 		}
 	}
 	for _, m := range s.members {
-		if m.up && !m.frozen && s.due(s.report, m.offset) {
+		if m.up && !m.frozen && s.isDue(s.reportInterval, m.reportOffset) {
 			s.sendReport(m)
 		}
 	}
@@ -291,35 +293,35 @@
 	s.packets = nil
 	for _, p := range due {
 		switch {
-		case p.at > s.now:
+		case p.deliverAt > s.now:
 			s.packets = append(s.packets, p)
 		case !p.to.up:
 		case p.to.frozen:
-			if len(p.to.waiting) < 100 {
-				p.to.waiting = append(p.to.waiting, p)
+			if len(p.to.queued) < 100 {
+				p.to.queued = append(p.to.queued, p)
 			}
 		default:
 			p.deliver()
-			s.keep(p)
+			s.recordForReplay(p)
 		}
 	}
 }
 
-// keep keeps some of the delivered datagrams for a replay.
-func (s *simulation) keep(p packet) {
-	if s.keepsOld && s.random.Intn(20) == 0 {
-		p.toStart = p.to.starts
-		s.replayable = append(s.replayable, p)
+// recordForReplay records one in 20 delivered datagrams for replays.
+func (s *simulation) recordForReplay(p packet) {
+	if s.recordsForReplay && s.random.Intn(20) == 0 {
+		p.toStarts = p.to.starts
+		s.recorded = append(s.recorded, p)
 	}
 }
 
-// due tells whether a tick has a multiple of the interval in it.
-func (s *simulation) due(interval, offset time.Duration) bool {
+// isDue reports whether a multiple of the interval, shifted by the offset, falls into the current tick.
+func (s *simulation) isDue(interval, offset time.Duration) bool {
 	return (s.now-offset)/interval != (s.now-s.tick-offset)/interval
 }
 
 func (s *simulation) sendAggregator(a *simulatedAggregator) {
-	if s.due(s.exchange, 0) {
+	if s.isDue(s.exchangeInterval, 0) {
 		sum := a.RegionSum(s.now)
 		for _, peer := range s.aggregators {
 			if peer != a {
@@ -327,7 +329,7 @@
 			}
 		}
 	}
-	isDigest, isHeartbeat := s.due(s.digest, 0), s.due(s.heartbeat, 0)
+	isDigest, isHeartbeat := s.isDue(s.digestInterval, 0), s.isDue(s.heartbeatInterval, 0)
 	var digest, heartbeat Digest
 	if isDigest {
 		digest = a.Digest(s.now)
@@ -359,18 +361,18 @@
 	}
 }
 
-// thaw lets a frozen node go on with what waited for it.
-func (s *simulation) thaw(n *simulatedNode) {
+// unfreeze resumes a frozen node, which first receives the datagrams queued for it.
+func (s *simulation) unfreeze(n *simulatedNode) {
 	n.frozen = false
-	for _, p := range n.waiting {
+	for _, p := range n.queued {
 		p.deliver()
 	}
-	n.waiting = nil
+	n.queued = nil
 }
 
-// run goes on for a span. After each step it calls check, which may be nil.
-func (s *simulation) run(span time.Duration, check func()) {
-	for end := s.now + span; s.now < end; {
+// run advances the simulation by a duration. It calls check after each step, if not nil.
+func (s *simulation) run(duration time.Duration, check func()) {
+	for end := s.now + duration; s.now < end; {
 		s.step()
 		if check != nil {
 			check()
@@ -378,20 +380,20 @@
 	}
 }
 
-// checkNoDoubleCount fails the test if any figure is above what members have held since its age and its error, or below
-// it though all were heard. Datagrams of up to three hops may have been on their way for the delay each, which ages do
-// not count.
+// checkNoDoubleCount fails the test if any figure exceeds, by more than its error, the sum of the members' largest
+// values within its age, or if all members were heard and it is below the sum of their smallest values by more than its
+// error. The margin allows for the network delay of up to three hops, which ages do not include.
 func (s *simulation) checkNoDoubleCount(keys []Key) {
 	s.t.Helper()
-	margin := 3 * (s.faults.delay + s.tick)
-	check := func(name string, key Key, f Figure) {
-		bound := float64(s.largestSince(key, s.now-f.Age-margin)) + f.Error
-		if f.Value > bound+1e-6 {
-			s.t.Fatalf("%v: %s has %+v of %v, above %v", s.now, name, f, key, bound)
+	margin := 3 * (s.faults.maxDelay + s.tick)
+	check := func(name string, key Key, figure Figure) {
+		highest := float64(s.sumOfLargestSince(key, s.now-figure.Age-margin)) + figure.Error
+		if figure.Value > highest+1e-6 {
+			s.t.Fatalf("%v: %s: figure %+v of key %v is above the bound %v", s.now, name, figure, key, highest)
 		}
-		least := float64(s.smallestSince(key, s.now-f.Age-margin)) - f.Error
-		if f.Heard > 0.9999 && f.Value < least-1e-6 {
-			s.t.Fatalf("%v: %s has %+v of %v, below %v", s.now, name, f, key, least)
+		lowest := float64(s.sumOfSmallestSince(key, s.now-figure.Age-margin)) - figure.Error
+		if figure.Heard > 0.9999 && figure.Value < lowest-1e-6 {
+			s.t.Fatalf("%v: %s: figure %+v of key %v is below the bound %v", s.now, name, figure, key, lowest)
 		}
 	}
 	for _, key := range keys {
@@ -408,7 +410,7 @@
 	}
 }
 
-// checkTables fails the test if an aggregator has of a member what that process of it never had.
+// checkTables fails the test if an aggregator holds a value of a member that the member's process never had.
 func (s *simulation) checkTables(a *simulatedAggregator) {
 	for _, m := range s.members {
 		record := a.membership.members[m.config.ID]
@@ -417,47 +419,47 @@
 		}
 		for _, entry := range record.table.entries {
 			key := a.dictionary.keys[entry.index]
-			if entry.value != 0 && !m.had[past{record.incarnation, key, uint64(entry.value)}] {
-				s.t.Fatalf("%v: %s has %d of %v by %s, which that never had", s.now, a.name, entry.value, key, m.name)
+			if entry.value != 0 && !m.heldValues[heldValue{record.incarnation, key, uint64(entry.value)}] {
+				s.t.Fatalf("%v: %s holds %d of key %v from %s, which never had that value", s.now, a.name, entry.value, key, m.name)
 			}
 		}
 	}
 }
 
-// exact tells whether all figures of all nodes that are up are the truth.
-func (s *simulation) exact(keys []Key) bool { return s.inexact(keys) == "" }
+// isExact reports whether all figures of all nodes that are up are exact.
+func (s *simulation) isExact(keys []Key) bool { return s.firstInexact(keys) == "" }
 
-// inexact names a figure that is not the truth.
-func (s *simulation) inexact(keys []Key) string {
+// firstInexact describes a figure that is not exact; "" if there is none.
+func (s *simulation) firstInexact(keys []Key) string {
 	for _, key := range keys {
-		truth := float64(s.truth(key))
+		want := float64(s.expectedSum(key))
 		for _, a := range s.aggregators {
-			if f := a.Figure(s.now, key); a.up && (f.Value != truth || f.Error != 0 || f.Heard < 0.9999) {
-				return fmt.Sprintf("%s has %+v of %v, not %v", a.name, f, key, truth)
+			if f := a.Figure(s.now, key); a.up && (f.Value != want || f.Error != 0 || f.Heard < 0.9999) {
+				return fmt.Sprintf("%s: figure %+v of key %v, want %v", a.name, f, key, want)
 			}
 		}
 		for _, m := range s.members {
 			if !m.up {
 				continue
 			}
-			if f := m.Figure(s.now, key); f.Value != truth || f.Error != 0 || f.Heard < 0.9999 {
-				return fmt.Sprintf("%s has %+v of %v, not %v", m.name, f, key, truth)
+			if f := m.Figure(s.now, key); f.Value != want || f.Error != 0 || f.Heard < 0.9999 {
+				return fmt.Sprintf("%s: figure %+v of key %v, want %v", m.name, f, key, want)
 			}
 		}
 	}
 	return ""
 }
 
-// checkExact fails the test if a figure of a node that is up is not the truth at this moment.
+// checkExact fails the test if a figure of a node that is up is not exact now.
 func (s *simulation) checkExact(keys []Key) {
 	s.t.Helper()
-	if inexact := s.inexact(keys); inexact != "" {
+	if inexact := s.firstInexact(keys); inexact != "" {
 		s.t.Fatalf("%v: %s", s.now, inexact)
 	}
 }
 
-// staysExact returns a check for run: each step has one of the keys in turn.
-func (s *simulation) staysExact(keys []Key) func() {
+// checkExactByKey returns a check for run, which checks one key per step, round-robin, for exactness.
+func (s *simulation) checkExactByKey(keys []Key) func() {
 	steps := 0
 	return func() {
 		s.t.Helper()
@@ -466,13 +468,14 @@
 	}
 }
 
-// settle goes on until all figures are exact, and fails the test if they are not within a span.
-func (s *simulation) settle(within time.Duration, keys []Key) time.Duration {
+// runUntilExact runs the simulation until all figures are exact and returns how long that took. It fails the test after
+// the limit.
+func (s *simulation) runUntilExact(limit time.Duration, keys []Key) time.Duration {
 	s.t.Helper()
 	start := s.now
-	for !s.exact(keys) {
-		if s.now-start > within {
-			s.t.Fatalf("not exact within %v: %s", within, s.inexact(keys))
+	for !s.isExact(keys) {
+		if s.now-start > limit {
+			s.t.Fatalf("not exact within %v: %s", limit, s.firstInexact(keys))
 		}
 		s.step()
 	}
@@ -481,15 +484,15 @@
 
 func entry(kind Kind, id, value uint64) Entry { return Entry{Kind: kind, ID: id, Value: value} }
 
-func someKeys(n int) (keys []Key) {
+func testKeys(n int) (keys []Key) {
 	for i := range n {
 		keys = append(keys, Key{Kind(1 + i%3), uint64(i) * 1_000_003})
 	}
 	return keys
 }
 
-// fill gives each member values of all keys.
-func (s *simulation) fill(keys []Key) {
+// setRandomValues sets random values of all keys on each member.
+func (s *simulation) setRandomValues(keys []Key) {
 	for _, m := range s.members {
 		for _, key := range keys {
 			s.set(m, key, uint64(1+s.random.Intn(100)))
--- a/internal/aggregation/slopes_test.go
+++ b/internal/aggregation/slopes_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Steps of the variables of the benchmarks. The largest are those of an aggregator's share of 7,600 members, and of
-// 10,000 servers among the keys.
+// Values of the benchmarks' parameters. The largest number of members is an aggregator's share of 7,600, the largest
+// number of keys is that of a fleet with 10,000 servers.
 var (
-	keySteps    = []int{100, 1000, 3000, 10_000}
-	memberSteps = []int{100, 500, 2533}
-	memberKeys  = []int{100, 1000}
+	keyCounts     = []int{100, 1000, 3000, 10_000}
+	memberCounts  = []int{100, 500, 2533}
+	keysPerMember = []int{100, 1000}
 )
 
-// heapBytes returns the bytes in use after a collection.
-func heapBytes() float64 {
+// heapBytesInUse returns the heap bytes in use after a garbage collection.
+func heapBytesInUse() float64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -25,7 +25,7 @@
 	return float64(stats.HeapAlloc)
 }
 
-func slopeMember(b testing.TB, id MemberID) *Member {
+func newBenchmarkMember(b testing.TB, id MemberID) *Member {
 	b.Helper()
 	m, err := NewMember(0, MemberConfig{
 		ID: id, Region: "region0", Zone: "zone0", Incarnation: 1, Aggregators: []AggregatorID{1, 2}, MaxKeys: 16_384,
@@ -37,7 +37,7 @@
 	return m
 }
 
-func slopeAggregator(b testing.TB, id AggregatorID) *Aggregator {
+func newBenchmarkAggregator(b testing.TB, id AggregatorID) *Aggregator {
 	b.Helper()
 	var peers []Peer
 	for i := range AggregatorID(6) {
@@ -56,8 +56,8 @@
 	return a
 }
 
-// slopeKeys are like names of servers: their IDs are hashes.
-func slopeKeys(n int) (keys []Key) {
+// benchmarkKeys returns keys with random IDs, like those of servers, whose IDs are hashes of their names.
+func benchmarkKeys(n int) (keys []Key) {
 	random := rand.New(rand.NewSource(1))
 	for range n {
 		keys = append(keys, Key{ByServer, random.Uint64()})
@@ -65,80 +65,81 @@
 	return keys
 }
 
-func fillMember(m *Member, keys []Key, random *rand.Rand) {
+func setRandomMemberValues(m *Member, keys []Key, random *rand.Rand) {
 	for _, key := range keys {
 		m.Set(key, uint64(1+random.Intn(40)))
 	}
 }
 
-// fillAggregator lets members report all their keys.
-func fillAggregator(b testing.TB, a *Aggregator, members int, keys []Key) {
+// reportAllKeys makes members report all their keys to an aggregator.
+func reportAllKeys(b testing.TB, a *Aggregator, members int, keys []Key) {
 	b.Helper()
 	random := rand.New(rand.NewSource(2))
 	for id := range members {
-		m := slopeMember(b, MemberID(id))
-		fillMember(m, keys, random)
-		for m.own.turn < 2 {
+		m := newBenchmarkMember(b, MemberID(id))
+		setRandomMemberValues(m, keys, random)
+		for m.ownTable.turn < 2 {
 			a.ReceiveReport(0, m.Report(0))
 		}
 	}
 }
 
-// fillDigests lets a member have all sums of an aggregator.
-func fillDigests(m *Member, a *Aggregator) {
+// receiveAllDigests sends a member digests of an aggregator until it has all its sums.
+func receiveAllDigests(m *Member, a *Aggregator) {
 	source := m.source(a.config.ID)
-	for source.table.highest == 0 || source.table.complete() < 1 {
+	for source.table.latestNumber == 0 || source.table.receivedShare() < 1 {
 		m.ReceiveDigest(0, a.Digest(0))
 	}
 }
 
-// TestMemberMemory: a member with 10,000 own keys and 10,000 sums of the fleet takes less than 2 MB: of the same keys from
-// both aggregators, as while it changes from one to the other, and of other keys from one.
+// TestMemberMemory: a member with 10,000 own keys and 10,000 sums of the fleet takes less than 2 MB, both with sums of
+// the same keys from both aggregators, as while it switches between them, and with sums of other keys from one
+// aggregator.
 func TestMemberMemory(t *testing.T) {
-	keys := slopeKeys(20_000)
+	keys := benchmarkKeys(20_000)
 	for _, fleet := range []struct {
 		keys        []Key
 		aggregators AggregatorID
 	}{{keys[:10_000], 2}, {keys[10_000:], 1}} {
 		var aggregators []*Aggregator
 		for id := range fleet.aggregators {
-			a := slopeAggregator(t, id+1)
-			fillAggregator(t, a, 1, fleet.keys)
-			a.Digest(0) // its own tables are not the member's
+			a := newBenchmarkAggregator(t, id+1)
+			reportAllKeys(t, a, 1, fleet.keys)
+			a.Digest(0) // allocates the aggregator's tables before the measurement
 			aggregators = append(aggregators, a)
 		}
-		before := heapBytes()
-		m := slopeMember(t, 7)
-		fillMember(m, keys[:10_000], rand.New(rand.NewSource(3)))
+		before := heapBytesInUse()
+		m := newBenchmarkMember(t, 7)
+		setRandomMemberValues(m, keys[:10_000], rand.New(rand.NewSource(3)))
 		m.Report(0)
 		for _, a := range aggregators {
-			fillDigests(m, a)
+			receiveAllDigests(m, a)
 		}
-		used := heapBytes() - before
-		t.Logf("%.0f bytes", used)
-		if used > 2_000_000 {
-			t.Errorf("a member takes %.0f bytes", used)
+		usedBytes := heapBytesInUse() - before
+		t.Logf("%.0f bytes", usedBytes)
+		if usedBytes > 2_000_000 {
+			t.Errorf("a member takes %.0f bytes", usedBytes)
 		}
 		runtime.KeepAlive(m)
 		runtime.KeepAlive(aggregators)
 	}
 }
 
-// BenchmarkSlopeMemberMemory: bytes of a member with as many own keys as fleet sums.
+// BenchmarkSlopeMemberMemory measures the heap bytes of a member with as many own keys as fleet sums.
 func BenchmarkSlopeMemberMemory(b *testing.B) {
-	for _, n := range keySteps {
+	for _, n := range keyCounts {
 		b.Run(fmt.Sprint("keys=", n), func(b *testing.B) {
-			keys := slopeKeys(n)
-			a := slopeAggregator(b, 1)
-			fillAggregator(b, a, 1, keys)
-			a.Digest(0) // its own tables are not the member's
+			keys := benchmarkKeys(n)
+			a := newBenchmarkAggregator(b, 1)
+			reportAllKeys(b, a, 1, keys)
+			a.Digest(0) // allocates the aggregator's tables before the measurement
 			for b.Loop() {
-				before := heapBytes()
-				m := slopeMember(b, 7)
-				fillMember(m, keys, rand.New(rand.NewSource(3)))
+				before := heapBytesInUse()
+				m := newBenchmarkMember(b, 7)
+				setRandomMemberValues(m, keys, rand.New(rand.NewSource(3)))
 				m.Report(0)
-				fillDigests(m, a)
-				b.ReportMetric(heapBytes()-before, "B/member")
+				receiveAllDigests(m, a)
+				b.ReportMetric(heapBytesInUse()-before, "B/member")
 				runtime.KeepAlive(m)
 			}
 			runtime.KeepAlive(a)
@@ -146,14 +147,14 @@
 	}
 }
 
-// BenchmarkSlopeMemberReport: one report of a member of whose keys one in a hundred changed.
+// BenchmarkSlopeMemberReport measures one report of a member with one changed key in a hundred.
 func BenchmarkSlopeMemberReport(b *testing.B) {
-	for _, n := range keySteps {
+	for _, n := range keyCounts {
 		b.Run(fmt.Sprint("keys=", n), func(b *testing.B) {
 			random := rand.New(rand.NewSource(3))
-			keys := slopeKeys(n)
-			m := slopeMember(b, 7)
-			fillMember(m, keys, random)
+			keys := benchmarkKeys(n)
+			m := newBenchmarkMember(b, 7)
+			setRandomMemberValues(m, keys, random)
 			entries := 0
 			for b.Loop() {
 				for range 1 + n/100 {
@@ -166,15 +167,15 @@
 	}
 }
 
-// BenchmarkSlopeMemberDigest: one digest received by a member.
+// BenchmarkSlopeMemberDigest measures the receipt of one digest by a member.
 func BenchmarkSlopeMemberDigest(b *testing.B) {
-	for _, n := range keySteps {
+	for _, n := range keyCounts {
 		b.Run(fmt.Sprint("keys=", n), func(b *testing.B) {
-			keys := slopeKeys(n)
-			a := slopeAggregator(b, 1)
-			fillAggregator(b, a, 1, keys)
-			m := slopeMember(b, 7)
-			fillDigests(m, a)
+			keys := benchmarkKeys(n)
+			a := newBenchmarkAggregator(b, 1)
+			reportAllKeys(b, a, 1, keys)
+			m := newBenchmarkMember(b, 7)
+			receiveAllDigests(m, a)
 			for b.Loop() {
 				b.StopTimer()
 				digest := a.Digest(0)
@@ -185,17 +186,17 @@
 	}
 }
 
-// BenchmarkSlopeAggregatorMemory: bytes of an aggregator by members and their keys.
+// BenchmarkSlopeAggregatorMemory measures the heap bytes of an aggregator by numbers of members and of their keys.
 func BenchmarkSlopeAggregatorMemory(b *testing.B) {
-	for _, members := range memberSteps {
-		for _, n := range memberKeys {
+	for _, members := range memberCounts {
+		for _, n := range keysPerMember {
 			b.Run(fmt.Sprintf("members=%d/keys=%d", members, n), func(b *testing.B) {
-				keys := slopeKeys(n)
+				keys := benchmarkKeys(n)
 				for b.Loop() {
-					before := heapBytes()
-					a := slopeAggregator(b, 1)
-					fillAggregator(b, a, members, keys)
-					used := heapBytes() - before
+					before := heapBytesInUse()
+					a := newBenchmarkAggregator(b, 1)
+					reportAllKeys(b, a, members, keys)
+					used := heapBytesInUse() - before
 					b.ReportMetric(used, "B/aggregator")
 					b.ReportMetric(used/float64(members*n), "B/entry")
 					runtime.KeepAlive(a)
@@ -205,32 +206,32 @@
 	}
 }
 
-// BenchmarkSlopeAggregatorReport: one report received by an aggregator, of members that take turns.
+// BenchmarkSlopeAggregatorReport measures the receipt of one report by an aggregator, from the members round-robin.
 func BenchmarkSlopeAggregatorReport(b *testing.B) {
-	for _, members := range memberSteps {
-		for _, n := range append(memberKeys, 10_000) {
+	for _, members := range memberCounts {
+		for _, n := range append(keysPerMember, 10_000) {
 			if members*n > 6_000_000 {
 				continue
 			}
 			b.Run(fmt.Sprintf("members=%d/keys=%d", members, n), func(b *testing.B) {
 				random := rand.New(rand.NewSource(3))
-				keys := slopeKeys(n)
-				a := slopeAggregator(b, 1)
-				fillAggregator(b, a, members, keys)
-				sender := slopeMember(b, 0)
-				fillMember(sender, keys, random)
+				keys := benchmarkKeys(n)
+				a := newBenchmarkAggregator(b, 1)
+				reportAllKeys(b, a, members, keys)
+				sender := newBenchmarkMember(b, 0)
+				setRandomMemberValues(sender, keys, random)
 				number := uint64(10_000)
-				at := 0
+				reported := 0
 				for b.Loop() {
 					b.StopTimer()
-					if at%members == 0 {
+					if reported%members == 0 {
 						sender.Set(keys[random.Intn(n)], uint64(random.Intn(40)))
 						sender.Report(0)
 					}
 					report := sender.Report(0)
 					number++
-					report.Member, report.Number, report.Since = MemberID(at%members), number, 0
-					at++
+					report.Member, report.Number, report.Since = MemberID(reported%members), number, 0
+					reported++
 					b.StartTimer()
 					if outcome, _ := a.ReceiveReport(0, report); outcome != Accepted {
 						b.Fatal(outcome)
@@ -241,27 +242,27 @@
 	}
 }
 
-// BenchmarkSlopeRegionSum: one datagram of an aggregator's region sums, while one key in a hundred changes.
+// BenchmarkSlopeRegionSum measures one datagram of an aggregator's region sums with one changed key in a hundred.
 func BenchmarkSlopeRegionSum(b *testing.B) {
-	benchmarkSums(b, func(a *Aggregator) int { return len(a.RegionSum(0).Entries) })
+	benchmarkSendSums(b, func(a *Aggregator) int { return len(a.RegionSum(0).Entries) })
 }
 
-// BenchmarkSlopeDigest: one digest of an aggregator, while one key in a hundred changes.
+// BenchmarkSlopeDigest measures one digest of an aggregator with one changed key in a hundred.
 func BenchmarkSlopeDigest(b *testing.B) {
-	benchmarkSums(b, func(a *Aggregator) int { return len(a.Digest(0).Entries) })
+	benchmarkSendSums(b, func(a *Aggregator) int { return len(a.Digest(0).Entries) })
 }
 
-func benchmarkSums(b *testing.B, send func(*Aggregator) int) {
+func benchmarkSendSums(b *testing.B, send func(*Aggregator) int) {
 	for _, members := range []int{10, 2533} {
-		for _, n := range keySteps {
+		for _, n := range keyCounts {
 			if members*n > 3_000_000 {
 				continue
 			}
 			b.Run(fmt.Sprintf("members=%d/keys=%d", members, n), func(b *testing.B) {
 				random := rand.New(rand.NewSource(3))
-				keys := slopeKeys(n)
-				a := slopeAggregator(b, 1)
-				fillAggregator(b, a, members, keys)
+				keys := benchmarkKeys(n)
+				a := newBenchmarkAggregator(b, 1)
+				reportAllKeys(b, a, members, keys)
 				sums := a.membership.sums
 				entries := 0
 				for b.Loop() {
@@ -277,13 +278,13 @@
 	}
 }
 
-// BenchmarkSlopeReceiveRegionSum: one datagram of another aggregator's region sums.
+// BenchmarkSlopeReceiveRegionSum measures the receipt of one datagram of another aggregator's region sums.
 func BenchmarkSlopeReceiveRegionSum(b *testing.B) {
-	for _, n := range keySteps {
+	for _, n := range keyCounts {
 		b.Run(fmt.Sprint("keys=", n), func(b *testing.B) {
-			keys := slopeKeys(n)
-			sender, receiver := slopeAggregator(b, 3), slopeAggregator(b, 1)
-			fillAggregator(b, sender, 1, keys)
+			keys := benchmarkKeys(n)
+			sender, receiver := newBenchmarkAggregator(b, 3), newBenchmarkAggregator(b, 1)
+			reportAllKeys(b, sender, 1, keys)
 			for b.Loop() {
 				b.StopTimer()
 				sum := sender.RegionSum(0)
@@ -296,16 +297,16 @@
 	}
 }
 
-// BenchmarkSlopeFading: a member that is no longer heard begins to fade, and counts again.
+// BenchmarkSlopeFading measures moving a member's values to the fading sums and back.
 func BenchmarkSlopeFading(b *testing.B) {
-	for _, n := range keySteps {
+	for _, n := range keyCounts {
 		b.Run(fmt.Sprint("keys=", n), func(b *testing.B) {
-			a := slopeAggregator(b, 1)
-			fillAggregator(b, a, 1, slopeKeys(n))
+			a := newBenchmarkAggregator(b, 1)
+			reportAllKeys(b, a, 1, benchmarkKeys(n))
 			record := a.membership.members[0]
 			for b.Loop() {
-				a.membership.fade(record)
-				a.membership.refresh(record, time.Second)
+				a.membership.startFading(record)
+				a.membership.markHeard(record, time.Second)
 			}
 		})
 	}
--- a/internal/aggregation/source.go
+++ b/internal/aggregation/source.go
@@ -2,61 +2,65 @@
 
 import "time"
 
-// switchMargin is by how much more another source must have been heard from to replace the one in use.
-const switchMargin = 1.02
+// switchRatio is how many times as many heard members another source must have to replace the one in use. It prevents
+// switching to and fro between sources that are about equal.
+const switchRatio = 1.02
 
-// candidate is a source that could be used.
+// candidate is a source of sums that could be used.
 type candidate struct {
-	id     AggregatorID
-	heard  float64 // members, each by the share of its keys
-	silent bool
+	id           AggregatorID
+	heardMembers float64 // each counted as the share of its keys that were received
+	silent       bool
 }
 
-func (c candidate) effective() float64 {
+// effectiveMembers returns the number of heard members; 0 if the source is silent.
+func (c candidate) effectiveMembers() float64 {
 	if c.silent {
 		return 0
 	}
-	return c.heard
+	return c.heardMembers
 }
 
-// chooseSource returns the candidate that was heard from most; of equal ones that with the lower id. The one in use is
-// kept unless another is better by the margin. 0 is none.
+// chooseSource returns the candidate with the most heard members; of equal ones the one with the lower ID. The source
+// in use is kept unless another exceeds it by switchRatio. 0 means none.
 func chooseSource(inUse AggregatorID, candidates []candidate) AggregatorID {
 	var best, current candidate
 	for _, c := range candidates {
 		if c.id == inUse {
 			current = c
 		}
-		if !c.silent && c.isBetter(best) {
+		if !c.silent && c.isBetterThan(best) {
 			best = c
 		}
 	}
-	if inUse == 0 || best.effective() > current.effective()*switchMargin {
+	if inUse == 0 || best.effectiveMembers() > current.effectiveMembers()*switchRatio {
 		return best.id
 	}
 	return inUse
 }
 
-func (c candidate) isBetter(other candidate) bool {
-	if other.id == 0 || c.heard != other.heard {
-		return other.id == 0 || c.heard > other.heard
+// isBetterThan reports whether a candidate has more heard members than the other, or as many and a lower ID. The zero
+// candidate is worse than any other.
+func (c candidate) isBetterThan(other candidate) bool {
+	if other.id == 0 || c.heardMembers != other.heardMembers {
+		return other.id == 0 || c.heardMembers > other.heardMembers
 	}
 	return c.id < other.id
 }
 
-// weight returns how much counts of what was heard so long ago.
-func weight(age, freshness, decay time.Duration) float64 {
+// ageWeight returns the weight, 1 to 0, of values that were received that long ago.
+func ageWeight(age, freshness, decay time.Duration) float64 {
 	if age <= freshness {
 		return 1
 	}
 	return max(0, 1-float64(age-freshness)/float64(decay))
 }
 
-// isSilent tells whether a source that was heard so long ago is to be replaced by another.
+// isSilent reports whether a source that was last heard that long ago is to be replaced by another.
 func isSilent(age, freshness time.Duration) bool { return age > freshness/2 }
 
-// weighted returns a part of a value.
-func weighted(value uint64, weight float64) uint64 {
+// applyWeight returns a value scaled by a weight, rounded to the nearest integer.
+func applyWeight(value uint64, weight float64) uint64 {
 	if weight >= 1 {
 		return value
 	}
--- a/internal/aggregation/stall.go
+++ b/internal/aggregation/stall.go
@@ -2,41 +2,42 @@
 
 import "time"
 
-// stallGuard finds that the process was stopped for a while (SIGSTOP, a frozen machine). What is received right after
-// that waited in the socket, and is counted as received when the process was stopped, so that it does not pass for
-// fresh. The callers of this package call it many times within the limit as long as they run.
-type stallGuard struct {
-	limit     time.Duration
-	now       time.Duration
-	stoppedAt time.Duration
-	settledAt time.Duration
-	stalls    uint64
+// stallDetector detects that the process was stopped for a while (SIGSTOP, a frozen machine), by a gap of more than
+// maxCallGap between two calls. Datagrams received right after that had been waiting in the socket buffer; they count
+// as received when the process was stopped, so that old values do not look fresh. Running callers call this package
+// many times within maxCallGap.
+type stallDetector struct {
+	maxCallGap time.Duration
+	latestTime time.Duration // largest time of any call
+	stoppedAt  time.Duration // time of the last call before the latest stall
+	backlogEnd time.Duration // until then, received datagrams count as received at stoppedAt
+	stalls     uint64
 }
 
-// stallShare is the part of the freshness for which no call may come, or else the process was stopped.
-const stallShare = 4
+// stallLimitDivisor: a stall is a time without calls of more than the freshness divided by this.
+const stallLimitDivisor = 4
 
-func newStallGuard(now, freshness time.Duration) stallGuard {
-	return stallGuard{limit: freshness / stallShare, now: now, settledAt: now}
+func newStallDetector(now, freshness time.Duration) stallDetector {
+	return stallDetector{maxCallGap: freshness / stallLimitDivisor, latestTime: now, backlogEnd: now}
 }
 
-// advance takes the time of a call, and returns one that never goes back.
-func (g *stallGuard) advance(now time.Duration) time.Duration {
-	if now-g.now > g.limit {
-		if g.now >= g.settledAt {
-			g.stoppedAt = g.now
+// advance processes the time of a call and returns a time that never goes back.
+func (d *stallDetector) advance(now time.Duration) time.Duration {
+	if now-d.latestTime > d.maxCallGap {
+		if d.latestTime >= d.backlogEnd {
+			d.stoppedAt = d.latestTime
 		}
-		g.settledAt = now + g.limit
-		g.stalls++
+		d.backlogEnd = now + d.maxCallGap
+		d.stalls++
 	}
-	g.now = max(g.now, now)
-	return g.now
+	d.latestTime = max(d.latestTime, now)
+	return d.latestTime
 }
 
-// receivedAt returns as of when a datagram counts that is received now.
-func (g *stallGuard) receivedAt() time.Duration {
-	if g.now < g.settledAt {
-		return g.stoppedAt
+// receiveTime returns the time at which a datagram received now counts as received.
+func (d *stallDetector) receiveTime() time.Duration {
+	if d.latestTime < d.backlogEnd {
+		return d.stoppedAt
 	}
-	return g.now
+	return d.latestTime
 }
--- a/internal/aggregation/subscription.go
+++ b/internal/aggregation/subscription.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// digestSource has the digests of one aggregator.
+// digestSource holds the digests received from one aggregator.
 type digestSource struct {
 	id          AggregatorID
-	known       bool
+	known       bool // a valid datagram of it was received
 	incarnation Incarnation
-	heartbeat   uint64
-	heardAt     time.Duration
-	regions     []RegionState
-	table       inbox[uint64]
+	heartbeat   uint64        // largest Heartbeat received
+	heardAt     time.Duration // receipt of the datagram with that Heartbeat
+	regions     []RegionState // according to that datagram
+	table       receiveTable[uint64]
 }
 
-// receive takes a digest or heartbeat.
+// receive processes a digest or heartbeat. A later incarnation replaces all that was received before.
 func (s *digestSource) receive(digest *Digest, heardAt time.Duration) (outcome Outcome, dropped int) {
 	switch {
 	case s.known && digest.Incarnation < s.incarnation:
@@ -33,12 +33,12 @@
 		s.heardAt = max(s.heardAt, heardAt)
 		s.regions = digest.Regions
 	}
-	outcome, dropped = s.table.receive(header{
-		number:  uint32(digest.Number),
-		since:   uint32(digest.Since),
-		keys:    digest.Keys,
-		quality: digestQuality(digest, heardAt),
-		isEmpty: len(digest.Entries) == 0,
+	outcome, dropped = s.table.receive(tableHeader{
+		number:      uint32(digest.Number),
+		since:       uint32(digest.Since),
+		nonzeroKeys: digest.Keys,
+		quality:     digestQuality(digest, heardAt),
+		isEmpty:     len(digest.Entries) == 0,
 	}, digest.Entries)
 	if isNew {
 		outcome = Accepted
@@ -46,17 +46,17 @@
 	return outcome, dropped
 }
 
-// digestQuality returns how good the sums of a digest are.
+// digestQuality returns the quality of the sums in a digest.
 func digestQuality(digest *Digest, heardAt time.Duration) quality {
 	return quality{
-		asOf:  heardAt - countedAge(digest.Regions),
-		bound: errorBound(digest),
-		heard: heardShare(digest.Regions),
+		asOf:       heardAt - oldestCountedAge(digest.Regions),
+		errorBound: digestErrorBound(digest),
+		heardShare: heardShare(digest.Regions),
 	}
 }
 
-// countedAge returns the largest age of the regions that count.
-func countedAge(states []RegionState) (age time.Duration) {
+// oldestCountedAge returns the largest age among the regions with a weight above 0.
+func oldestCountedAge(states []RegionState) (age time.Duration) {
 	for _, state := range states {
 		if state.Weight > 0 {
 			age = max(age, state.Age)
@@ -65,8 +65,8 @@
 	return age
 }
 
-// errorBound returns the bound on the errors of a digest's sums.
-func errorBound(digest *Digest) uint64 {
+// digestErrorBound returns the bound on the errors of a digest's sums.
+func digestErrorBound(digest *Digest) uint64 {
 	bound := digest.Slack
 	for _, state := range digest.Regions {
 		bound += state.Slack + state.Fading
@@ -74,7 +74,7 @@
 	return bound
 }
 
-// heardMembers returns how many members the aggregator's sums are from, each by the share of its keys.
+// heardMembers returns the number of members that the aggregator's sums cover, in all regions.
 func (s *digestSource) heardMembers() (heard float64) {
 	for _, state := range s.regions {
 		heard += state.Heard * float64(state.Members)
@@ -82,7 +82,7 @@
 	return heard
 }
 
-// knownMembers returns how many members the aggregator knows in all regions.
+// knownMembers returns the number of members that the aggregator knows, in all regions.
 func (s *digestSource) knownMembers() (members uint32) {
 	for _, state := range s.regions {
 		members += state.Members
@@ -90,23 +90,25 @@
 	return members
 }
 
-// subscription chooses the aggregator that a member has its digests from. Members choose at first by a hash, so that
-// they spread over the aggregators, and go back to that choice once it was as good as the other for a while.
+// subscription selects the aggregator that a member asks for digests. The preferred one is chosen by rendezvous
+// hashing, so that members spread over the aggregators. If another has to replace it, the member returns to the
+// preferred one once that has been about as good for the freshness plus the decay.
 type subscription struct {
-	preferred   AggregatorID
-	current     AggregatorID
-	startedAt   time.Duration
-	asGoodSince time.Duration // the preferred one, while another is current; see isGood
-	isGood      bool
+	preferred              AggregatorID
+	current                AggregatorID
+	startedAt              time.Duration
+	preferredEligibleSince time.Duration // valid while preferredEligible
+	preferredEligible      bool          // another is current, and the preferred one is not silent and about as good
 }
 
 func newSubscription(now time.Duration, member MemberID, aggregators []AggregatorID) subscription {
-	preferred := rendezvous(member, aggregators)
+	preferred := chooseByRendezvousHash(member, aggregators)
 	return subscription{preferred: preferred, current: preferred, startedAt: now}
 }
 
-// rendezvous returns the aggregator of the largest hash with the member.
-func rendezvous(member MemberID, aggregators []AggregatorID) (chosen AggregatorID) {
+// chooseByRendezvousHash returns the aggregator with the largest hash of member and aggregator; of equal ones the one
+// with the lower ID.
+func chooseByRendezvousHash(member MemberID, aggregators []AggregatorID) (chosen AggregatorID) {
 	largest := uint64(0)
 	for _, id := range aggregators {
 		var text [16]byte
@@ -121,18 +123,18 @@
 	return chosen
 }
 
-// update changes the current aggregator if it is silent or another was heard from more.
+// update changes the current aggregator if it is silent or another one has more heard members.
 func (s *subscription) update(now time.Duration, sources []*digestSource, freshness, decay time.Duration) {
 	if !isSilent(now-s.startedAt, freshness) {
-		return // none could be heard so far
+		return // an aggregator may not have been able to send a datagram yet
 	}
 	candidates := make([]candidate, 0, len(sources))
 	var preferred, current candidate
 	for _, source := range sources {
 		c := candidate{
-			id:     source.id,
-			heard:  source.heardMembers(),
-			silent: !source.known || isSilent(now-source.heardAt, freshness),
+			id:           source.id,
+			heardMembers: source.heardMembers(),
+			silent:       !source.known || isSilent(now-source.heardAt, freshness),
 		}
 		candidates = append(candidates, c)
 		if c.id == s.preferred {
@@ -145,16 +147,16 @@
 			current = c
 		}
 	}
-	asGood := s.current != s.preferred && !preferred.silent &&
-		preferred.effective()*switchMargin >= current.effective()
-	if !asGood {
-		s.isGood = false
+	preferredIsEligible := s.current != s.preferred && !preferred.silent &&
+		preferred.effectiveMembers()*switchRatio >= current.effectiveMembers()
+	if !preferredIsEligible {
+		s.preferredEligible = false
 		return
 	}
-	if !s.isGood {
-		s.isGood, s.asGoodSince = true, now
+	if !s.preferredEligible {
+		s.preferredEligible, s.preferredEligibleSince = true, now
 	}
-	if now-s.asGoodSince >= freshness+decay {
-		s.current, s.isGood = s.preferred, false
+	if now-s.preferredEligibleSince >= freshness+decay {
+		s.current, s.preferredEligible = s.preferred, false
 	}
 }
--- a/internal/aggregation/table_test.go
+++ b/internal/aggregation/table_test.go
@@ -11,111 +11,115 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-func testOutbox(max int) *outbox { return newOutbox(newDictionary(max), max, 0.1) }
+func newTestSendTable(maxKeys int) *sendTable {
+	return newSendTable(newDictionary(maxKeys), maxKeys, 0.1)
+}
 
-func testInbox(max int) *inbox[uint64] {
-	return &inbox[uint64]{dictionary: newDictionary(max), max: max}
+func newTestReceiveTable(maxKeys int) *receiveTable[uint64] {
+	return &receiveTable[uint64]{dictionary: newDictionary(maxKeys), maxKeys: maxKeys}
 }
 
-func (b batch) header(at time.Duration) header {
-	return header{
-		number: uint32(b.number), since: uint32(b.since), keys: b.keys,
-		quality: quality{asOf: at, bound: b.slack, heard: 1},
+func (b batch) header(receivedAt time.Duration) tableHeader {
+	return tableHeader{
+		number: uint32(b.number), since: uint32(b.since), nonzeroKeys: b.keys,
+		quality: quality{asOf: receivedAt, errorBound: b.slack, heardShare: 1},
 	}
 }
 
-func valueOf[V uint32 | uint64](b *inbox[V], key Key) V {
-	if index, known := b.dictionary.find(key); known {
-		return b.value(index)
+func testValue[V uint32 | uint64](table *receiveTable[V], key Key) V {
+	if index, known := table.dictionary.find(key); known {
+		return table.value(index)
 	}
 	return 0
 }
 
-// TestUrgentFirst: what changed by the largest share goes first, on half of a datagram at most, and all others in turn.
+// TestUrgentFirst: the keys that changed by the largest share are sent first, in at most half of a datagram. The other
+// keys follow in key order.
 func TestUrgentFirst(t *testing.T) {
-	o := testOutbox(1000)
-	keys := someKeys(200)
+	table := newTestSendTable(1000)
+	keys := testKeys(200)
 	for _, key := range keys {
-		o.set(key, 1000)
+		table.set(key, 1000)
 	}
-	for o.turn < 7 || o.inTurn {
-		o.next(1000)
+	for table.turn < 7 || table.turnInProgress {
+		table.nextBatch(1000)
 	}
-	o.set(keys[150], 1101)
-	o.set(keys[151], 1500)
-	o.set(keys[152], 1050)
-	b := o.next(1000)
-	if len(b.entries) < 20 || b.entries[0].Key() != keys[151] || b.entries[1].Key() != keys[150] {
-		t.Fatalf("%v", b.entries)
+	table.set(keys[150], 1101)
+	table.set(keys[151], 1500)
+	table.set(keys[152], 1050)
+	datagram := table.nextBatch(1000)
+	if len(datagram.entries) < 20 || datagram.entries[0].Key() != keys[151] || datagram.entries[1].Key() != keys[150] {
+		t.Fatalf("%v", datagram.entries)
 	}
-	if b.entries[2].Key() == keys[152] || b.slack != 50 {
-		t.Errorf("a small change is urgent, or the slack is %d", b.slack)
+	if datagram.entries[2].Key() == keys[152] || datagram.slack != 50 {
+		t.Errorf("a change below the change share is urgent, or slack %d, want 50", datagram.slack)
 	}
 	for _, key := range keys {
-		o.set(key, 5000)
+		table.set(key, 5000)
 	}
-	if b = o.next(1000); !slices.IsSortedFunc(b.entries[len(b.entries)-5:], func(x, y Entry) int { return x.Key().Compare(y.Key()) }) {
-		t.Errorf("no keys in turn beside the urgent: %v", b.entries)
+	if datagram = table.nextBatch(1000); !slices.IsSortedFunc(datagram.entries[len(datagram.entries)-5:], func(x, y Entry) int { return x.Key().Compare(y.Key()) }) {
+		t.Errorf("no keys of the turn after the urgent ones: %v", datagram.entries)
 	}
 }
 
-// TestEveryKeyInEachTurn: each key is sent once in every turn, also while others are urgent, so no key that the sender has
-// was last sent before Since.
+// TestEveryKeyInEachTurn: every turn sends each key at least once, also while others are urgent. So no key in the table
+// was last sent before Since, and receivers may drop older entries.
 func TestEveryKeyInEachTurn(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
-	o := testOutbox(1000)
-	keys := someKeys(300)
-	sentAt := map[Key]uint64{}
+	table := newTestSendTable(1000)
+	keys := testKeys(300)
+	sentNumbers := map[Key]uint64{}
 	for step := range 2000 {
 		for range 40 {
-			o.set(keys[random.Intn(len(keys))], uint64(random.Intn(3)*random.Intn(10_000)))
+			table.set(keys[random.Intn(len(keys))], uint64(random.Intn(3)*random.Intn(10_000)))
 		}
-		b := o.next(600)
+		datagram := table.nextBatch(600)
 		seen := map[Key]bool{}
 		size := 0
-		for _, entry := range b.entries {
+		for _, entry := range datagram.entries {
 			if seen[entry.Key()] {
-				t.Fatalf("%v twice in a datagram", entry)
+				t.Fatalf("%v occurs twice in a datagram", entry)
 			}
-			seen[entry.Key()], sentAt[entry.Key()] = true, b.number
+			seen[entry.Key()], sentNumbers[entry.Key()] = true, datagram.number
 			size += EntrySize(entry)
 		}
 		if size > 600 {
-			t.Fatalf("%d bytes", size)
+			t.Fatalf("entries of %d bytes, at most 600 are allowed", size)
 		}
-		for _, index := range o.order {
-			key := o.dictionary.keys[index]
-			if sent, was := sentAt[key]; was && o.slots[index].number > 0 && sent < b.since {
-				t.Fatalf("step %d: %v was sent by %d, since %d", step, key, sent, b.since)
+		for _, index := range table.sortedIndexes {
+			key := table.dictionary.keys[index]
+			if number, wasSent := sentNumbers[key]; wasSent && table.slots[index].sentNumber > 0 && number < datagram.since {
+				t.Fatalf("step %d: key %v was last sent in datagram %d, before Since %d", step, key, number, datagram.since)
 			}
 		}
 	}
-	if turns := o.turn; turns < 100 {
-		t.Errorf("%d turns", turns)
+	if turns := table.turn; turns < 100 {
+		t.Errorf("%d turns, want at least 100", turns)
 	}
 }
 
-// TestZeroIsSentTwice: a key that became 0 is sent as that at once and for one more turn, and goes then.
+// TestZeroIsSentTwice: a key that became 0 is sent with value 0 at once and once more in the next turn, and is then
+// removed.
 func TestZeroIsSentTwice(t *testing.T) {
-	o := testOutbox(9)
+	table := newTestSendTable(9)
 	key := Key{ByServer, 1}
-	o.set(key, 5)
-	o.next(1000)
-	o.set(key, 0)
-	sent := 0
+	table.set(key, 5)
+	table.nextBatch(1000)
+	table.set(key, 0)
+	zeroEntries := 0
 	for range 5 {
-		for _, entry := range o.next(1000).entries {
+		for _, entry := range table.nextBatch(1000).entries {
 			if entry.Key() == key && entry.Value == 0 {
-				sent++
+				zeroEntries++
 			}
 		}
 	}
-	if sent != 2 || len(o.order) != 0 || len(o.dictionary.index) != 0 {
-		t.Errorf("sent %d times, %d keys", sent, len(o.order))
+	if zeroEntries != 2 || len(table.sortedIndexes) != 0 || len(table.dictionary.indexes) != 0 {
+		t.Errorf("0 was sent %d times, want 2; %d keys are left, want 0", zeroEntries, len(table.sortedIndexes))
 	}
 }
 
-// TestRoomForKeys: at the bound a new key takes the place of one that is 0, and is dropped and counted if there is none.
+// TestRoomForKeys: in a full table a new key replaces one with value 0; if there is none, it is dropped and counted.
 func TestRoomForKeys(t *testing.T) {
 	m, err := NewMember(0, MemberConfig{
 		ID: 1, Region: "r", Zone: "z", Incarnation: 1, Aggregators: []AggregatorID{1}, MaxKeys: 9,
@@ -127,22 +131,22 @@
 	for id := range uint64(1000) {
 		m.Set(Key{ByServer, id}, 1)
 	}
-	if n := len(m.own.order); n != 9 || m.Counters().Keys != 991 {
-		t.Errorf("%d keys of 9, %d dropped", n, m.Counters().Keys)
+	if n := len(m.ownTable.sortedIndexes); n != 9 || m.Counters().DroppedEntries != 991 {
+		t.Errorf("%d keys, want 9; %d dropped, want 991", n, m.Counters().DroppedEntries)
 	}
 	m.Report(0)
-	for id := range uint64(20) { // servers come and go under new names
+	for id := range uint64(20) { // servers with new names appear and disappear
 		m.Set(Key{ByServer, id}, 0)
 		m.Set(Key{ByServer, 100 + id}, 3)
 		m.Set(Key{ByServer, 100 + id}, 0)
 	}
-	if !m.Set(Key{ByServer, 99}, 4) || m.own.value(Key{ByServer, 99}) != 4 || len(m.own.order) != 9 {
-		t.Errorf("no room for a new server among %d keys", len(m.own.order))
+	if !m.Set(Key{ByServer, 99}, 4) || m.ownTable.value(Key{ByServer, 99}) != 4 || len(m.ownTable.sortedIndexes) != 9 {
+		t.Errorf("no room for a new server among %d keys", len(m.ownTable.sortedIndexes))
 	}
 }
 
-// TestRoomAtAggregator: an aggregator drops and counts what is beyond the keys of one member, all keys and all members.
-// Keys that are 0 make room.
+// TestRoomAtAggregator: an aggregator drops and counts entries beyond the limits on the keys of a member and on all
+// keys, and reports beyond the limit on members. Keys with value 0 are dropped to make room.
 func TestRoomAtAggregator(t *testing.T) {
 	a, err := NewAggregator(0, AggregatorConfig{
 		ID: 1, Region: "r", Incarnation: 1, MaxMembers: 3, MaxKeys: 10, MaxMemberKeys: 6,
@@ -151,52 +155,53 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	report := func(member MemberID, number uint64, from, n, value uint64) Report {
-		r := Report{Member: member, Incarnation: 1, Number: number, Zone: "z", Keys: uint32(n)}
-		for id := from; id < from+n; id++ {
+	report := func(member MemberID, number uint64, firstID, count, value uint64) Report {
+		r := Report{Member: member, Incarnation: 1, Number: number, Zone: "z", Keys: uint32(count)}
+		for id := firstID; id < firstID+count; id++ {
 			r.Entries = append(r.Entries, entry(ByServer, id, value))
 		}
 		return r
 	}
 	a.ReceiveReport(0, report(1, 1, 0, 8, 1))
-	if got := a.Counters().Keys; got != 2 {
-		t.Errorf("%d keys of a member dropped, not 2", got)
+	if got := a.Counters().DroppedEntries; got != 2 {
+		t.Errorf("%d keys of a member dropped, want 2", got)
 	}
 	a.ReceiveReport(0, report(2, 1, 100, 6, 1))
-	if got := a.Counters().Keys; got != 4 || len(a.Keys()) != 10 {
-		t.Errorf("%d keys dropped, not 4; %d keys", got, len(a.Keys()))
+	if got := a.Counters().DroppedEntries; got != 4 || len(a.Keys()) != 10 {
+		t.Errorf("%d keys dropped, want 4; %d keys held, want 10", got, len(a.Keys()))
 	}
 	if status := a.Members(0)[1]; status.Keys != 4 || status.KeysSent != 6 {
 		t.Errorf("%+v", status)
 	}
 	a.ReceiveReport(0, report(3, 1, 0, 1, 1))
-	if outcome, _ := a.ReceiveReport(0, report(4, 1, 0, 1, 1)); outcome != NoRoom || a.Counters().Members != 1 || a.MemberCount(0) != 3 {
-		t.Errorf("a member beyond the bound: %v", outcome)
+	if outcome, _ := a.ReceiveReport(0, report(4, 1, 0, 1, 1)); outcome != NoRoom || a.Counters().DroppedMemberReports != 1 || a.MemberCount(0) != 3 {
+		t.Errorf("a member beyond the limit: %v", outcome)
 	}
-	a.ReceiveReport(0, report(1, 2, 0, 6, 0)) // 0 to 5 become 0
+	a.ReceiveReport(0, report(1, 2, 0, 6, 0)) // the keys with IDs 0 to 5 fall to 0
 	a.ReceiveReport(0, report(1, 3, 50, 5, 1))
 	if status := a.Members(0)[0]; status.Keys == 0 {
-		t.Errorf("keys that are 0 keep the room: %+v", status)
+		t.Errorf("keys with value 0 were not dropped to make room: %+v", status)
 	}
 	number := uint64(1)
-	reported := func(at time.Duration, from, n, value uint64) {
+	reportAndSend := func(at time.Duration, firstID, count, value uint64) {
 		number++
-		a.ReceiveReport(at, report(2, number, from, n, value))
+		a.ReceiveReport(at, report(2, number, firstID, count, value))
 		a.RegionSum(at)
 		a.Digest(at)
 	}
-	reported(time.Second, 100, 6, 0)
+	reportAndSend(time.Second, 100, 6, 0)
 	for at := 2 * time.Second; at <= testFreshness+time.Second; at += time.Second {
-		reported(at, 200, 3, 1)
+		reportAndSend(at, 200, 3, 1)
 	}
 	at := testFreshness + time.Second
-	if value := a.Figure(at, Key{ByServer, 200}).Value; value != 1 || len(a.dictionary.index) > 10 {
-		t.Errorf("a new key has %v; %d keys", value, len(a.dictionary.index))
+	if value := a.Figure(at, Key{ByServer, 200}).Value; value != 1 || len(a.dictionary.indexes) > 10 {
+		t.Errorf("a new key has value %v, want 1; %d keys, at most 10 are allowed", value, len(a.dictionary.indexes))
 	}
 }
 
-// TestMemberFades: what a member held counts in full for the freshness, then less, linearly, to nothing, and a process
-// that comes back under its name begins with nothing.
+// TestMemberFades: the values of a member that is no longer heard count in full for the freshness; then their weight
+// falls linearly to 0. A new process with the same ID starts without values, and replayed reports of the old one are
+// rejected.
 func TestMemberFades(t *testing.T) {
 	const freshness, decay = 2 * time.Second, 4 * time.Second
 	key := Key{ByTenant, 3}
@@ -215,16 +220,16 @@
 	}
 	const start = 10 * time.Second
 	number := uint64(0)
-	stays := func(from, until time.Duration) {
-		for at := from; at < until; at += 100 * time.Millisecond {
+	reportUnchanged := func(from, until time.Duration) {
+		for now := from; now < until; now += 100 * time.Millisecond {
 			number++
-			a.ReceiveReport(at, report(1, 1, number, 5))
+			a.ReceiveReport(now, report(1, 1, number, 5))
 		}
 	}
-	stays(0, start)
-	old := report(2, 1, 1, 10)
-	a.ReceiveReport(start, old)
-	at := start
+	reportUnchanged(0, start)
+	lastReport := report(2, 1, 1, 10)
+	a.ReceiveReport(start, lastReport)
+	now := start
 	for _, want := range []struct {
 		after time.Duration
 		Figure
@@ -236,27 +241,28 @@
 		{5 * time.Second, Figure{8, 10, 5 * time.Second, 0.5}},
 		{6 * time.Second, Figure{5, 0, 100 * time.Millisecond, 1}},
 	} {
-		stays(at, start+want.after)
-		at = start + want.after
-		f := a.Figure(at, key)
+		reportUnchanged(now, start+want.after)
+		now = start + want.after
+		f := a.Figure(now, key)
 		if f.Value != want.Value || f.Error != want.Error || f.Age != want.Age || math.Abs(f.Heard-want.Heard) > 1e-9 {
-			t.Errorf("after %v: %+v, not %+v", want.after, f, want.Figure)
+			t.Errorf("after %v: %+v, want %+v", want.after, f, want.Figure)
 		}
 	}
-	if outcome, _ := a.ReceiveReport(at, old); outcome != Duplicate || a.Figure(at, key).Value != 5 {
-		t.Errorf("an old report that comes again is %v", outcome)
+	if outcome, _ := a.ReceiveReport(now, lastReport); outcome != Duplicate || a.Figure(now, key).Value != 5 {
+		t.Errorf("a replayed report is %v", outcome)
 	}
-	a.ReceiveReport(at, report(2, 2, 1, 1))
-	if f := a.Figure(at, key); f.Value != 6 {
-		t.Errorf("after a restart %+v", f)
+	a.ReceiveReport(now, report(2, 2, 1, 1))
+	if f := a.Figure(now, key); f.Value != 6 {
+		t.Errorf("after a restart: %+v, want value 6", f)
 	}
-	outcome, refusal := a.ReceiveReport(at, old)
-	if outcome != Refused || refusal == nil || *refusal != (Refusal{Aggregator: 1, Member: 2, Incarnation: 2}) || a.Figure(at, key).Value != 6 {
-		t.Errorf("a report of the process before is %v, %+v", outcome, refusal)
+	outcome, refusal := a.ReceiveReport(now, lastReport)
+	if outcome != Refused || refusal == nil || *refusal != (Refusal{Aggregator: 1, Member: 2, Incarnation: 2}) || a.Figure(now, key).Value != 6 {
+		t.Errorf("a report of the earlier process is %v, %+v", outcome, refusal)
 	}
 }
 
-// TestJustStarted: an aggregator that has just started does not say that it heard all members, as it does not know them.
+// TestJustStarted: an aggregator that has just started does not claim to have heard all members, as it does not know
+// them yet: the heard share rises linearly over the freshness.
 func TestJustStarted(t *testing.T) {
 	a, err := NewAggregator(0, AggregatorConfig{
 		ID: 1, Region: "r", Incarnation: 1, MaxMembers: 9, MaxKeys: 9, MaxMemberKeys: 9,
@@ -270,207 +276,207 @@
 		a.ReceiveReport(at, Report{Member: 1, Incarnation: 1, Number: number + 1, Zone: "z"})
 		want := float64(number+1) / 50
 		if got := a.RegionSum(at).Heard; math.Abs(got-want) > 1e-9 {
-			t.Errorf("after %v heard %v, not %v", at, got, want)
+			t.Errorf("after %v: heard share %v, want %v", at, got, want)
 		}
 	}
 }
 
-// TestAnyOrder: datagrams that come in any order, some of them twice, leave the same values as in order.
+// TestAnyOrder: datagrams received in any order, some of them twice, give the same values as in order.
 func TestAnyOrder(t *testing.T) {
 	random := rand.New(rand.NewSource(3))
 	for range 300 {
-		o := testOutbox(100)
-		keys := someKeys(20)
-		var sent []batch
+		sender := newTestSendTable(100)
+		keys := testKeys(20)
+		var batches []batch
 		for range 6 {
 			for range 5 {
-				o.set(keys[random.Intn(len(keys))], uint64(random.Intn(100)))
+				sender.set(keys[random.Intn(len(keys))], uint64(random.Intn(100)))
 			}
-			sent = append(sent, o.next(150))
+			batches = append(batches, sender.nextBatch(150))
 		}
-		inOrder, shuffled := testInbox(100), testInbox(100)
-		for _, b := range sent {
+		inOrder, shuffled := newTestReceiveTable(100), newTestReceiveTable(100)
+		for _, b := range batches {
 			inOrder.receive(b.header(0), b.entries)
 		}
-		mixed := slices.Concat(sent, sent[2:4])
-		random.Shuffle(len(mixed), func(i, j int) { mixed[i], mixed[j] = mixed[j], mixed[i] })
-		for _, b := range mixed {
+		reordered := slices.Concat(batches, batches[2:4])
+		random.Shuffle(len(reordered), func(i, j int) { reordered[i], reordered[j] = reordered[j], reordered[i] })
+		for _, b := range reordered {
 			shuffled.receive(b.header(0), b.entries)
 		}
 		for _, key := range keys {
-			if got, want := valueOf(shuffled, key), valueOf(inOrder, key); got != want {
-				t.Fatalf("%v: %d, in order %d", key, got, want)
+			if got, want := testValue(shuffled, key), testValue(inOrder, key); got != want {
+				t.Fatalf("key %v: %d, received in order %d", key, got, want)
 			}
 		}
-		if shuffled.worst() != shuffled.quality {
-			t.Fatalf("gaps %+v after all have come", shuffled.gaps)
+		if shuffled.worstQuality() != shuffled.quality {
+			t.Fatalf("gaps %+v remain after all datagrams were received", shuffled.gaps)
 		}
-		for _, b := range mixed {
+		for _, b := range reordered {
 			if outcome, _ := shuffled.receive(b.header(time.Hour), b.entries); outcome == Accepted {
-				t.Fatalf("%d comes again and is %v", b.number, outcome)
+				t.Fatalf("datagram %d was received again and is %v", b.number, outcome)
 			}
 		}
 		if shuffled.quality.asOf != 0 {
-			t.Fatal("a datagram that comes again refreshes")
+			t.Fatal("a duplicate datagram refreshed the table")
 		}
 	}
 }
 
-// TestGaps: the value of a key is as good as the datagrams since it came in: where one is missing, as the one before that
-// said, and what a late one brings is as good as that one said.
+// TestGaps: the quality of a key's value is the worst of all datagrams since the one that set it. A missing datagram
+// has the quality of the one before it; an entry of a late datagram has that of its own datagram.
 func TestGaps(t *testing.T) {
-	b := testInbox(9)
-	send := func(number uint32, id uint64, q quality) {
-		b.receive(header{number: number, keys: 3, quality: q}, []Entry{entry(ByServer, id, uint64(number))})
+	table := newTestReceiveTable(9)
+	send := func(number uint32, id uint64, sentQuality quality) {
+		table.receive(tableHeader{number: number, nonzeroKeys: 3, quality: sentQuality}, []Entry{entry(ByServer, id, uint64(number))})
 	}
-	of := func(id uint64) quality {
-		index, _ := b.dictionary.find(Key{ByServer, id})
-		return b.qualityOf(index)
+	qualityOfID := func(id uint64) quality {
+		index, _ := table.dictionary.find(Key{ByServer, id})
+		return table.qualityOf(index)
 	}
 	first, third := quality{1, 10, 1}, quality{3, 30, 0.5}
 	fifth := quality{5, 5, 0.9}
 	send(1, 1, first)
 	send(5, 5, fifth)
-	if of(1) != (quality{1, 10, 0.9}) || of(5) != fifth || b.worst() != of(1) {
-		t.Errorf("2 to 4 are missing: %+v, %+v, %+v", of(1), of(5), b.worst())
+	if qualityOfID(1) != (quality{1, 10, 0.9}) || qualityOfID(5) != fifth || table.worstQuality() != qualityOfID(1) {
+		t.Errorf("datagrams 2 to 4 are missing: %+v, %+v, %+v", qualityOfID(1), qualityOfID(5), table.worstQuality())
 	}
 	send(3, 3, third)
-	if of(3) != (quality{1, 30, 0.5}) || of(5) != fifth {
-		t.Errorf("2 and 4 are missing: %+v, %+v", of(3), of(5))
+	if qualityOfID(3) != (quality{1, 30, 0.5}) || qualityOfID(5) != fifth {
+		t.Errorf("datagrams 2 and 4 are missing: %+v, %+v", qualityOfID(3), qualityOfID(5))
 	}
 	send(2, 2, first)
 	send(4, 4, third)
 	for id := range uint64(5) {
-		if of(id+1) != fifth {
-			t.Errorf("none is missing: %d has %+v", id+1, of(id+1))
+		if qualityOfID(id+1) != fifth {
+			t.Errorf("no datagram is missing: key %d has %+v", id+1, qualityOfID(id+1))
 		}
 	}
-	b.receive(header{number: 7, keys: 3, quality: quality{7, 0, 1}, isEmpty: true}, nil)
-	if of(5) != fifth {
-		t.Errorf("a heartbeat alone: %+v", of(5))
+	table.receive(tableHeader{number: 7, nonzeroKeys: 3, quality: quality{7, 0, 1}, isEmpty: true}, nil)
+	if qualityOfID(5) != fifth {
+		t.Errorf("a heartbeat without its digest: %+v", qualityOfID(5))
 	}
 	send(7, 7, first)
-	if of(7) != first || of(5) != (quality{1, 10, 0.9}) {
-		t.Errorf("a digest after its heartbeat: %+v, %+v", of(7), of(5))
+	if qualityOfID(7) != first || qualityOfID(5) != (quality{1, 10, 0.9}) {
+		t.Errorf("a digest after its heartbeat: %+v, %+v", qualityOfID(7), qualityOfID(5))
 	}
 }
 
-// TestTurnSendsEachKeyOnce: while nothing changes after the start, the first turn sends each key once, though all are
-// urgent at first, and the next one does too.
+// TestTurnSendsEachKeyOnce: while no value changes, each turn sends each key exactly once, also the first one, in which
+// all keys are urgent.
 func TestTurnSendsEachKeyOnce(t *testing.T) {
 	const keys, byteBudget = 1000, 1000
-	o := testOutbox(keys)
+	table := newTestSendTable(keys)
 	for id := range uint64(keys) {
-		o.set(Key{ByServer, id * 0x9e3779b97f4a7c15}, 1+id%300)
+		table.set(Key{ByServer, id * 0x9e3779b97f4a7c15}, 1+id%300)
 	}
 	for turn := range 2 {
-		sent := map[Key]int{}
+		entriesByKey := map[Key]int{}
 		total := 0
-		for first := true; first || o.inTurn; first = false {
-			for _, entry := range o.next(byteBudget).entries {
-				sent[entry.Key()]++
+		for first := true; first || table.turnInProgress; first = false {
+			for _, entry := range table.nextBatch(byteBudget).entries {
+				entriesByKey[entry.Key()]++
 				total++
 			}
 		}
-		if len(sent) != keys || total != keys {
-			t.Errorf("turn %d: %d entries of %d keys, %d keys are held", turn, total, len(sent), keys)
+		if len(entriesByKey) != keys || total != keys {
+			t.Errorf("turn %d: %d entries of %d keys, the table has %d keys", turn, total, len(entriesByKey), keys)
 		}
 	}
 }
 
-// TestGapBeforeTheFirst: a receiver that comes to a sender late has missed all before, of which it holds nothing. That gap
-// worsens no value, neither by itself nor once it is taken together with so many later ones as a table has that only
-// heartbeats reach.
+// TestGapBeforeTheFirst: a receiver that starts late has missed all earlier datagrams, of which it holds no entries.
+// That gap worsens no value, neither by itself nor after it was merged with later gaps, as happens to a table that
+// receives only heartbeats.
 func TestGapBeforeTheFirst(t *testing.T) {
-	b := testInbox(9)
-	heartbeat := func(number uint32) { b.receive(header{number: number, keys: 3, isEmpty: true}, nil) }
-	send := func(number uint32, id uint64, q quality) {
-		b.receive(header{number: number, keys: 3, quality: q}, []Entry{entry(ByServer, id, uint64(number))})
+	table := newTestReceiveTable(9)
+	heartbeat := func(number uint32) { table.receive(tableHeader{number: number, nonzeroKeys: 3, isEmpty: true}, nil) }
+	send := func(number uint32, id uint64, sentQuality quality) {
+		table.receive(tableHeader{number: number, nonzeroKeys: 3, quality: sentQuality}, []Entry{entry(ByServer, id, uint64(number))})
 	}
-	of := func(id uint64) quality {
-		index, _ := b.dictionary.find(Key{ByServer, id})
-		return b.qualityOf(index)
+	qualityOfID := func(id uint64) quality {
+		index, _ := table.dictionary.find(Key{ByServer, id})
+		return table.qualityOf(index)
 	}
-	first, late := quality{asOf: 9, bound: 10, heard: 0.9}, quality{asOf: 8, bound: 20, heard: 0.8}
+	first, late := quality{asOf: 9, errorBound: 10, heardShare: 0.9}, quality{asOf: 8, errorBound: 20, heardShare: 0.8}
 	heartbeat(500)
 	send(501, 1, first)
 	send(499, 2, late)
-	if of(2) != late || of(1) != first {
-		t.Errorf("a late datagram from before the first: %+v, the first %+v", of(2), of(1))
+	if qualityOfID(2) != late || qualityOfID(1) != first {
+		t.Errorf("entry of a datagram from before the first: %+v; entry of the first: %+v", qualityOfID(2), qualityOfID(1))
 	}
 	send(502, 2, first)
 	for n := range uint32(3 * maxGaps) {
 		heartbeat(510 + 6*n)
 	}
-	if of(1) != first || b.worst() != first {
-		t.Errorf("with many gaps behind it: %+v, in all %+v", of(1), b.worst())
+	if qualityOfID(1) != first || table.worstQuality() != first {
+		t.Errorf("followed by many gaps: %+v, worst of all %+v", qualityOfID(1), table.worstQuality())
 	}
 }
 
-// TestMergedGapsWorsen: an entry from before the oldest of many gaps keeps the quality of then, also once gaps are taken
-// together; an entry from behind all gaps does not.
+// TestMergedGapsWorsen: an entry from before the oldest of many gaps keeps the quality of its time, also after gaps
+// were merged. An entry from after all gaps is not affected.
 func TestMergedGapsWorsen(t *testing.T) {
-	b := testInbox(9)
-	heartbeat := func(number uint32) { b.receive(header{number: number, keys: 3, isEmpty: true}, nil) }
-	send := func(number uint32, id uint64, q quality) {
-		b.receive(header{number: number, keys: 3, quality: q}, []Entry{entry(ByServer, id, uint64(number))})
+	table := newTestReceiveTable(9)
+	heartbeat := func(number uint32) { table.receive(tableHeader{number: number, nonzeroKeys: 3, isEmpty: true}, nil) }
+	send := func(number uint32, id uint64, sentQuality quality) {
+		table.receive(tableHeader{number: number, nonzeroKeys: 3, quality: sentQuality}, []Entry{entry(ByServer, id, uint64(number))})
 	}
-	of := func(id uint64) quality {
-		index, _ := b.dictionary.find(Key{ByServer, id})
-		return b.qualityOf(index)
+	qualityOfID := func(id uint64) quality {
+		index, _ := table.dictionary.find(Key{ByServer, id})
+		return table.qualityOf(index)
 	}
-	old, later := quality{asOf: 3, bound: 30, heard: 0.3}, quality{asOf: 9, bound: 10, heard: 0.9}
+	old, later := quality{asOf: 3, errorBound: 30, heardShare: 0.3}, quality{asOf: 9, errorBound: 10, heardShare: 0.9}
 	send(1, 1, old)
 	send(5, 2, later)
 	for n := range uint32(3 * maxGaps) {
 		heartbeat(10 + 2*n)
 	}
 	send(1000, 3, later)
-	if of(1) != old || b.worst() != old {
-		t.Errorf("from before the oldest gap: %+v, in all %+v", of(1), b.worst())
+	if qualityOfID(1) != old || table.worstQuality() != old {
+		t.Errorf("entry from before the oldest gap: %+v, worst of all %+v", qualityOfID(1), table.worstQuality())
 	}
-	if of(3) != later {
-		t.Errorf("from behind all gaps: %+v", of(3))
+	if qualityOfID(3) != later {
+		t.Errorf("entry from after all gaps: %+v", qualityOfID(3))
 	}
 }
 
-// TestTables: over seeded schedules of changes, loss, doubling and reordering each value of the receiver is one that the
-// sender had since the time that the receiver says, up to the bound that it says; and once the faults are over all values
-// are those of the sender within five turns.
+// TestTables runs seeded schedules of changes, loss, duplication and reordering. Each value of the receiver must be
+// within its error bound of a value that the sender had since its asOf time. Once the faults end, all values must equal
+// the sender's within five turns.
 func TestTables(t *testing.T) {
 	for seed := range int64(25) {
 		random := rand.New(rand.NewSource(seed))
-		o, b := testOutbox(200), testInbox(200)
-		keys := someKeys(1 + random.Intn(150))
-		history := map[Key][]change{}
-		type onItsWay struct {
+		sender, receiver := newTestSendTable(200), newTestReceiveTable(200)
+		keys := testKeys(1 + random.Intn(150))
+		history := map[Key][]timedValue{}
+		type inFlightBatch struct {
 			at time.Duration
 			batch
 		}
-		var packets []onItsWay
+		var packets []inFlightBatch
 		now := time.Hour
-		const tick, latest = 10 * time.Millisecond, 150 * time.Millisecond
-		step := func(faulty bool) {
+		const tick, maxDelay = 10 * time.Millisecond, 150 * time.Millisecond
+		step := func(withFaults bool) {
 			now += tick
 			for range random.Intn(4) {
-				if key := keys[random.Intn(len(keys))]; faulty {
+				if key := keys[random.Intn(len(keys))]; withFaults {
 					value := uint64(random.Intn(2) * random.Intn(1000))
-					o.set(key, value)
-					history[key] = append(history[key], change{now, value})
+					sender.set(key, value)
+					history[key] = append(history[key], timedValue{now, value})
 				}
 			}
-			sent := onItsWay{now, o.next(400)}
+			sent := inFlightBatch{now, sender.nextBatch(400)}
 			for range 1 + random.Intn(2) {
-				if faulty {
-					sent.at = now + time.Duration(random.Int63n(int64(latest)))
+				if withFaults {
+					sent.at = now + time.Duration(random.Int63n(int64(maxDelay)))
 				}
-				if !faulty || random.Intn(20) > 0 {
+				if !withFaults || random.Intn(20) > 0 {
 					packets = append(packets, sent)
 				}
 			}
-			packets = slices.DeleteFunc(packets, func(p onItsWay) bool {
+			packets = slices.DeleteFunc(packets, func(p inFlightBatch) bool {
 				if p.at <= now {
-					b.receive(p.header(now), p.entries)
+					receiver.receive(p.header(now), p.entries)
 				}
 				return p.at <= now
 			})
@@ -478,35 +484,36 @@
 		for range 1500 {
 			step(true)
 			key := keys[random.Intn(len(keys))]
-			index, known := b.dictionary.find(key)
-			if !known || b.value(index) == 0 {
+			index, known := receiver.dictionary.find(key)
+			if !known || receiver.value(index) == 0 {
 				continue
 			}
-			q := b.qualityOf(index)
-			if !within(history[key], q.asOf-latest-tick, b.value(index), q.bound) {
-				t.Fatalf("seed %d: %d of %v, %+v, gaps %+v; was %v", seed, b.value(index), key, q, b.gaps, history[key])
+			q := receiver.qualityOf(index)
+			if !isWithinBound(history[key], q.asOf-maxDelay-tick, receiver.value(index), q.errorBound) {
+				t.Fatalf("seed %d: value %d of key %v, quality %+v, gaps %+v; sender's history %v", seed, receiver.value(index), key, q, receiver.gaps, history[key])
 			}
 		}
-		begun := o.turn
+		firstTurn := sender.turn
 		packets = nil
-		for o.turn <= begun+5 {
+		for sender.turn <= firstTurn+5 {
 			step(false)
 		}
 		for _, key := range keys {
-			if got, want := valueOf(b, key), o.value(key); got != want {
-				t.Fatalf("seed %d: %v: %d, not %d", seed, key, got, want)
+			if got, want := testValue(receiver, key), sender.value(key); got != want {
+				t.Fatalf("seed %d: key %v: %d, want %d", seed, key, got, want)
 			}
 		}
-		if q := b.worst(); q.bound != 0 || now-q.asOf > tick || b.complete() != 1 {
-			t.Fatalf("seed %d: %+v %v ago, %+v", seed, q, now-q.asOf, b.gaps)
+		if q := receiver.worstQuality(); q.errorBound != 0 || now-q.asOf > tick || receiver.receivedShare() != 1 {
+			t.Fatalf("seed %d: quality %+v, %v old, gaps %+v", seed, q, now-q.asOf, receiver.gaps)
 		}
 	}
 }
 
-// within tells whether a value differs by the bound at most from one that was there since a time.
-func within(history []change, since time.Duration, value, bound uint64) bool {
+// isWithinBound reports whether a value differs by at most the bound from one that was held since a time, or from 0 if
+// the history does not reach back that far.
+func isWithinBound(history []timedValue, since time.Duration, value, bound uint64) bool {
 	for i := len(history) - 1; i >= 0; i-- {
-		if had := history[i].value; max(had, value)-min(had, value) <= bound {
+		if heldThen := history[i].value; max(heldThen, value)-min(heldThen, value) <= bound {
 			return true
 		}
 		if history[i].at <= since {
@@ -516,20 +523,21 @@
 	return value <= bound
 }
 
-// TestSizes: the largest messages take 1,200 bytes at most in CBOR, in an envelope of a version, a type and the body.
+// TestSizes: the largest messages take at most MaxDatagramBytes in CBOR, in an envelope of a version, a type and the
+// body. EntrySize is exact, and datagrams of small entries are nearly full.
 func TestSizes(t *testing.T) {
 	type envelope struct {
 		Version uint64 `cbor:"0,keyasint"`
 		Type    uint64 `cbor:"1,keyasint"`
 		Body    any    `cbor:"2,keyasint"`
 	}
-	name := func(i int) string { return fmt.Sprintf("%032d", i) }
+	maxLengthName := func(i int) string { return fmt.Sprintf("%032d", i) }
 	config := AggregatorConfig{
-		ID: math.MaxUint64, Region: name(0), Incarnation: math.MaxUint64, MaxMembers: 1000, MaxKeys: 10_000, MaxMemberKeys: 10_000,
+		ID: math.MaxUint64, Region: maxLengthName(0), Incarnation: math.MaxUint64, MaxMembers: 1000, MaxKeys: 10_000, MaxMemberKeys: 10_000,
 		ChangeShare: 0.1, Freshness: testFreshness, Decay: testDecay,
 	}
 	for i := range 2 * MaxRegions {
-		config.Peers = append(config.Peers, Peer{math.MaxUint64 - 1 - AggregatorID(i), name(i / 2)})
+		config.Peers = append(config.Peers, Peer{math.MaxUint64 - 1 - AggregatorID(i), maxLengthName(i / 2)})
 	}
 	now := time.Hour
 	a, err := NewAggregator(now, config)
@@ -537,7 +545,7 @@
 		t.Fatal(err)
 	}
 	m, err := NewMember(now, MemberConfig{
-		ID: math.MaxUint64, Region: name(0), Zone: name(1), Incarnation: math.MaxUint64, MaxKeys: 10_000,
+		ID: math.MaxUint64, Region: maxLengthName(0), Zone: maxLengthName(1), Incarnation: math.MaxUint64, MaxKeys: 10_000,
 		Aggregators: []AggregatorID{math.MaxUint64}, ChangeShare: 0.1, Freshness: testFreshness, Decay: testDecay,
 	})
 	if err != nil {
@@ -546,7 +554,7 @@
 	for i := range 500 {
 		m.Set(Key{ByListener, math.MaxUint64 - uint64(i)}, math.MaxUint32)
 	}
-	small, err := NewMember(now, MemberConfig{
+	shortMember, err := NewMember(now, MemberConfig{
 		ID: 1, Region: "r", Zone: "z", Incarnation: 1, MaxKeys: 10_000,
 		Aggregators: []AggregatorID{1}, ChangeShare: 0.1, Freshness: testFreshness, Decay: testDecay,
 	})
@@ -554,17 +562,17 @@
 		t.Fatal(err)
 	}
 	for i := range 500 {
-		small.Set(Key{ByServer, uint64(i % 24)}, 1)
-		small.Set(Key{ByTenant, uint64(i)}, 1)
+		shortMember.Set(Key{ByServer, uint64(i % 24)}, 1)
+		shortMember.Set(Key{ByTenant, uint64(i)}, 1)
 	}
-	encoded := func(message any) int {
+	encodedSize := func(message any) int {
 		body, err := cbor.Marshal(envelope{math.MaxUint32, math.MaxUint32, message})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return len(body)
 	}
-	largest := 0
+	largestShortReport := 0
 	for range 20 {
 		now += 400 * time.Millisecond
 		report := m.Report(now)
@@ -575,30 +583,30 @@
 			sum.Members, sum.Heard, sum.Slack, sum.Fading = math.MaxUint32, 0.123456789, maxSumValue, maxSumValue
 			a.ReceiveRegionSum(now, sum)
 		}
-		largest = max(largest, encoded(small.Report(now)))
-		for _, message := range []any{report, small.Report(now), a.RegionSum(now), a.Digest(now), a.Heartbeat(now)} {
-			if n := encoded(message); n > MaxDatagramBytes {
-				t.Errorf("%T: %d bytes", message, n)
+		largestShortReport = max(largestShortReport, encodedSize(shortMember.Report(now)))
+		for _, message := range []any{report, shortMember.Report(now), a.RegionSum(now), a.Digest(now), a.Heartbeat(now)} {
+			if n := encodedSize(message); n > MaxDatagramBytes {
+				t.Errorf("%T takes %d bytes, at most %d are allowed", message, n, MaxDatagramBytes)
 			}
 		}
 	}
 	for _, e := range []Entry{entry(1, 1, 1), entry(1, 24, 256), entry(1, 1<<16, 1<<32), entry(1, math.MaxUint64, math.MaxUint32)} {
-		if n := encoded(e) - encoded(uint64(0)) + 1; n != EntrySize(e) {
-			t.Errorf("%+v takes %d bytes, EntrySize %d", e, n, EntrySize(e))
+		if n := encodedSize(e) - encodedSize(uint64(0)) + 1; n != EntrySize(e) {
+			t.Errorf("%+v takes %d bytes, EntrySize returns %d", e, n, EntrySize(e))
 		}
 	}
-	if largest < 1050 {
-		t.Errorf("a datagram of small entries has %d bytes only", largest)
+	if largestShortReport < 1050 {
+		t.Errorf("the largest datagram of small entries has only %d bytes, want at least 1050", largestShortReport)
 	}
 }
 
-// TestConfigs: what can't be is refused with the name of the field.
+// TestConfigs: an invalid field is rejected with a ConfigError that names it.
 func TestConfigs(t *testing.T) {
 	member := MemberConfig{
 		ID: 1, Region: "r", Zone: "z", Incarnation: 1, Aggregators: []AggregatorID{1, 2}, MaxKeys: 9,
 		ChangeShare: 0.1, Freshness: testFreshness, Decay: testDecay,
 	}
-	for field, spoil := range map[string]func(*MemberConfig){
+	for field, invalidate := range map[string]func(*MemberConfig){
 		"Region":      func(c *MemberConfig) { c.Region = "" },
 		"Zone":        func(c *MemberConfig) { c.Zone = string(make([]byte, 33)) },
 		"Incarnation": func(c *MemberConfig) { c.Incarnation = 0 },
@@ -609,7 +617,7 @@
 		"Decay":       func(c *MemberConfig) { c.Decay = time.Hour },
 	} {
 		c := member
-		spoil(&c)
+		invalidate(&c)
 		_, err := NewMember(0, c)
 		if configError, ok := err.(*ConfigError); !ok || configError.Field != field {
 			t.Errorf("%s: %v", field, err)
@@ -619,7 +627,7 @@
 		ID: 1, Region: "r", Incarnation: 1, MaxMembers: 3, MaxKeys: 10, MaxMemberKeys: 6,
 		ChangeShare: 0.1, Freshness: testFreshness, Decay: testDecay,
 	}
-	for field, spoil := range map[string]func(*AggregatorConfig){
+	for field, invalidate := range map[string]func(*AggregatorConfig){
 		"ID":            func(c *AggregatorConfig) { c.ID = 0 },
 		"Region":        func(c *AggregatorConfig) { c.Region = "" },
 		"Incarnation":   func(c *AggregatorConfig) { c.Incarnation = 0 },
@@ -629,7 +637,7 @@
 		"MaxKeys":       func(c *AggregatorConfig) { c.MaxKeys = -1 },
 	} {
 		c := aggregator
-		spoil(&c)
+		invalidate(&c)
 		_, err := NewAggregator(0, c)
 		if configError, ok := err.(*ConfigError); !ok || configError.Field != field {
 			t.Errorf("%s: %v", field, err)
--- a/internal/aggregation/validate.go
+++ b/internal/aggregation/validate.go
@@ -29,5 +29,5 @@
 		s.Age >= 0 && s.Age <= maxAge && s.Slack <= maxSumValue && s.Fading <= maxSumValue
 }
 
-// validShare is false for NaN too.
+// validShare reports whether a share is within 0 to 1. NaN is not.
 func validShare(share float64) bool { return share >= 0 && share <= 1 }
--- a/internal/sharing/status.go
+++ b/internal/sharing/status.go
@@ -124,7 +124,7 @@
 }
 
 func droppedStatus(c aggregation.Counters) DroppedStatus {
-	return DroppedStatus{Keys: c.Keys, Members: c.Members, Incarnations: c.Incarnation, Stalls: c.Stalls}
+	return DroppedStatus{Keys: c.DroppedEntries, Members: c.DroppedMemberReports, Incarnations: c.IncarnationChanges, Stalls: c.Stalls}
 }
 
 var kindNames = [...]string{
