--- a/internal/aggregation/scenario_member_test.go
+++ b/internal/aggregation/scenario_member_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// TestDigestLostInPart: a member loses every third datagram while the digest table takes several datagrams. Until it
+// TestDigestLostInPart: a member loses about one in three datagrams while the digest table takes several. Until it
 // has all keys, its figures say so and stay within their bounds. All keys arrive within five turns.
 func TestDigestLostInPart(t *testing.T) {
 	t.Parallel()
--- a/internal/counts/counts.go
+++ b/internal/counts/counts.go
@@ -1,5 +1,6 @@
-// Package counts aggregates the logs of many proxies, for the count command: events by second, dials by server, and how
-// late each revision of the list reached the proxies. It reads logs after the fact and does not judge what it counts.
+// Package counts aggregates the logs of many proxies for the count command: events per second, dials per second and
+// server, and how late each revision of the list of servers reached the proxies. It reads finished logs, matches lines
+// by their keys and messages, and only counts: it does not evaluate the result.
 package counts
 
 import (
@@ -15,150 +16,160 @@
 	"time"
 )
 
-// Fleet aggregates the logs of all proxies.
+// Fleet aggregates the logs of all proxies. Its times are those of the logs, so the proxies' clocks must agree.
 type Fleet struct {
-	proxies     int
-	first, last time.Time
-	events      map[string][]time.Time // by the name of a row in the table
-	dials       map[string][]time.Time // by server, of dials that have ended
-	lists       map[string][]logLine   // by proxy, in the order of its log
-	Skipped     int                    // lines that are no log lines
+	proxies             int
+	firstTime, lastTime time.Time
+	eventTimes          map[string][]time.Time // times of events, by the name of their row in the output
+	dialStarts          map[string][]time.Time // start times of the dials that have ended, by server
+	listLines           map[string][]logLine   // lines about received lists, by proxy, in log order
+	Skipped             int                    // number of lines that could not be parsed as log lines
 }
 
-// New makes an empty aggregate.
+// New returns an empty Fleet.
 func New() *Fleet {
-	return &Fleet{events: map[string][]time.Time{}, dials: map[string][]time.Time{}, lists: map[string][]logLine{}}
+	return &Fleet{eventTimes: map[string][]time.Time{}, dialStarts: map[string][]time.Time{}, listLines: map[string][]logLine{}}
 }
 
-// logLine is what is read of a line of a proxy's log.
+// logLine holds the keys used of a line of a proxy's log.
 type logLine struct {
 	Time     time.Time `json:"time"`
 	Side     string    `json:"side"`
 	Reason   string    `json:"reason"`
 	Server   string    `json:"server"`
 	ID       string    `json:"id"`
-	Ms       float64   `json:"ms"`
+	Ms       float64   `json:"ms"` // duration of the session or dial in milliseconds
 	Returned bool      `json:"returned"`
 	Message  string    `json:"message"`
 	Revision uint64    `json:"revision"`
 }
 
-// Add reads one proxy's log. Each line may have a prefix before its JSON, such as a supervisor's time.
+const (
+	initialLineBufferBytes = 16 << 10
+	maxLineBytes           = 1 << 20
+)
+
+// Add reads one proxy's log. Each line may have a prefix before its JSON, such as a timestamp of a supervisor. Lines
+// without JSON or without a time are counted in Skipped. It returns an error if reading fails or a line exceeds
+// maxLineBytes.
 func (f *Fleet) Add(proxy string, log io.Reader) error {
 	f.proxies++
-	lines := bufio.NewScanner(log)
-	lines.Buffer(make([]byte, 0, 16<<10), 1<<20)
-	for lines.Scan() {
-		var e logLine
-		brace := bytes.IndexByte(lines.Bytes(), '{')
-		if brace < 0 || json.Unmarshal(lines.Bytes()[brace:], &e) != nil || e.Time.IsZero() {
+	scanner := bufio.NewScanner(log)
+	scanner.Buffer(make([]byte, 0, initialLineBufferBytes), maxLineBytes)
+	for scanner.Scan() {
+		var entry logLine
+		jsonStart := bytes.IndexByte(scanner.Bytes(), '{')
+		if jsonStart < 0 || json.Unmarshal(scanner.Bytes()[jsonStart:], &entry) != nil || entry.Time.IsZero() {
 			f.Skipped++
 			continue
 		}
-		f.addLine(proxy, e)
+		f.addLine(proxy, entry)
 	}
-	if err := lines.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return fmt.Errorf("%s: %w", proxy, err)
 	}
 	return nil
 }
 
-// failedDialReasons are the reasons of dials that established no session; the others end with their client's reason.
+// failedDialReasons are the reasons with which dials end that established no session. Other dials end with the reason
+// of their client's session, which is counted with the client.
 var failedDialReasons = []string{"unanswered", "unreachable", "full", "error", "drains"}
 
-// addLine counts one line.
-func (f *Fleet) addLine(proxy string, e logLine) {
-	if f.first.IsZero() || e.Time.Before(f.first) {
-		f.first = e.Time
+// addLine counts the events of one line. Sessions and dials are logged when they end; ms is their duration.
+func (f *Fleet) addLine(proxy string, entry logLine) {
+	if f.firstTime.IsZero() || entry.Time.Before(f.firstTime) {
+		f.firstTime = entry.Time
 	}
-	if e.Time.After(f.last) {
-		f.last = e.Time
+	if entry.Time.After(f.lastTime) {
+		f.lastTime = entry.Time
 	}
-	start := e.Time.Add(-time.Duration(e.Ms * float64(time.Millisecond)))
-	count := func(kind string, at time.Time) { f.events[kind] = append(f.events[kind], at) }
+	start := entry.Time.Add(-time.Duration(entry.Ms * float64(time.Millisecond)))
+	addEvent := func(name string, eventTime time.Time) { f.eventTimes[name] = append(f.eventTimes[name], eventTime) }
 	switch {
-	case e.Side == "client" && e.ID != "":
-		count("came", start)
-		if e.Returned {
-			count("returned", start)
+	case entry.Side == "client" && entry.ID != "":
+		addEvent("came", start)
+		if entry.Returned {
+			addEvent("returned", start)
 		}
-		count(e.Reason, e.Time)
-	case e.Side == "server":
-		f.dials[e.Server] = append(f.dials[e.Server], start)
-		if slices.Contains(failedDialReasons, e.Reason) {
-			count(e.Reason, e.Time)
+		addEvent(entry.Reason, entry.Time)
+	case entry.Side == "server":
+		f.dialStarts[entry.Server] = append(f.dialStarts[entry.Server], start)
+		if slices.Contains(failedDialReasons, entry.Reason) {
+			addEvent(entry.Reason, entry.Time)
 		}
-	case e.Message == "list":
-		count("list", e.Time)
-		f.lists[proxy] = append(f.lists[proxy], e)
-	case e.Message == "the watch of the list failed":
-		count("list failed", e.Time)
-	case strings.Contains(e.Message, "messages late or sessions dropped"):
-		count("late", e.Time)
+	case entry.Message == "list":
+		addEvent("list", entry.Time)
+		f.listLines[proxy] = append(f.listLines[proxy], entry)
+	case entry.Message == "the watch of the list failed":
+		addEvent("list failed", entry.Time)
+	case strings.Contains(entry.Message, "messages late or sessions dropped"):
+		addEvent("late", entry.Time)
 	}
 }
 
-// RevisionLateness is how late a revision of the list reached the proxies.
+// RevisionLateness describes how late a revision of the list reached the proxies.
 type RevisionLateness struct {
 	Revision uint64
-	First    time.Duration // since the first line of any log
-	Half     time.Duration // after the first proxy, until half of them had it or a newer one; -1: never
-	All      time.Duration
-	Never    int // proxies that had neither by the end
+	First    time.Duration // when the first proxy had it, since the first line of any log
+	Half     time.Duration // time after First until half of the proxies had it or a newer one; -1: never
+	All      time.Duration // likewise for all proxies
+	Never    int           // number of proxies that had neither by the end of their logs
 }
 
-// ListLateness returns, by revision, how late the proxies had it. A proxy that restarts from nothing had it before.
-func (f *Fleet) ListLateness() (all []RevisionLateness) {
+// ListLateness returns how late each revision reached the proxies, in order of revisions. Per proxy only the first
+// receipt counts: a proxy that restarts without state and receives the revision again had it before.
+func (f *Fleet) ListLateness() (latenesses []RevisionLateness) {
 	revisions := map[uint64]bool{}
-	for _, lists := range f.lists {
-		for _, e := range lists {
-			revisions[e.Revision] = true
+	for _, lines := range f.listLines {
+		for _, line := range lines {
+			revisions[line.Revision] = true
 		}
 	}
 	for _, revision := range slices.Sorted(maps.Keys(revisions)) {
-		var times []time.Time
-		for _, lists := range f.lists {
-			if i := slices.IndexFunc(lists, func(e logLine) bool { return e.Revision >= revision }); i >= 0 {
-				times = append(times, lists[i].Time)
+		var receiveTimes []time.Time
+		for _, lines := range f.listLines {
+			if i := slices.IndexFunc(lines, func(line logLine) bool { return line.Revision >= revision }); i >= 0 {
+				receiveTimes = append(receiveTimes, lines[i].Time)
 			}
 		}
-		slices.SortFunc(times, time.Time.Compare)
-		l := RevisionLateness{Revision: revision, First: times[0].Sub(f.first), Half: -1, All: -1, Never: f.proxies - len(times)}
-		if half := (f.proxies + 1) / 2; len(times) >= half {
-			l.Half = times[half-1].Sub(times[0])
+		slices.SortFunc(receiveTimes, time.Time.Compare)
+		lateness := RevisionLateness{Revision: revision, First: receiveTimes[0].Sub(f.firstTime), Half: -1, All: -1, Never: f.proxies - len(receiveTimes)}
+		if half := (f.proxies + 1) / 2; len(receiveTimes) >= half {
+			lateness.Half = receiveTimes[half-1].Sub(receiveTimes[0])
 		}
-		if l.Never == 0 {
-			l.All = times[len(times)-1].Sub(times[0])
+		if lateness.Never == 0 {
+			lateness.All = receiveTimes[len(receiveTimes)-1].Sub(receiveTimes[0])
 		}
-		all = append(all, l)
+		latenesses = append(latenesses, lateness)
 	}
-	return all
+	return latenesses
 }
 
-// PerSecond are the counts of a kind of event, by second.
-func (f *Fleet) PerSecond(kind string) []int { return f.countPerSecond(f.events[kind]) }
+// PerSecond returns the number of events of a row of the output, by second since the first line of any log.
+func (f *Fleet) PerSecond(event string) []int { return f.countPerSecond(f.eventTimes[event]) }
 
-// DialsPerSecond are the dials to a server, by the second in which they began.
-func (f *Fleet) DialsPerSecond(server string) []int { return f.countPerSecond(f.dials[server]) }
+// DialsPerSecond returns the number of ended dials to a server, by the second in which they started.
+func (f *Fleet) DialsPerSecond(server string) []int { return f.countPerSecond(f.dialStarts[server]) }
 
+// countPerSecond counts times by second. Times before the first line count in the first second.
 func (f *Fleet) countPerSecond(times []time.Time) []int {
-	row := make([]int, int(f.last.Sub(f.first)/time.Second)+1)
-	for _, at := range times {
-		row[max(int(at.Sub(f.first)/time.Second), 0)]++
+	counts := make([]int, int(f.lastTime.Sub(f.firstTime)/time.Second)+1)
+	for _, eventTime := range times {
+		counts[max(int(eventTime.Sub(f.firstTime)/time.Second), 0)]++
 	}
-	return row
+	return counts
 }
 
-// Servers are all that were dialed, the busiest first.
+// Servers returns all dialed servers, those with the most ended dials first, then by name.
 func (f *Fleet) Servers() []string {
-	return slices.SortedFunc(maps.Keys(f.dials), func(a, c string) int {
-		return cmp.Or(len(f.dials[c])-len(f.dials[a]), cmp.Compare(a, c))
+	return slices.SortedFunc(maps.Keys(f.dialStarts), func(a, b string) int {
+		return cmp.Or(len(f.dialStarts[b])-len(f.dialStarts[a]), cmp.Compare(a, b))
 	})
 }
 
-// Write prints the aggregate.
+// Write prints the counts as a table, one row per event and server and one column per second, and the list revisions.
 func (f *Fleet) Write(out io.Writer) {
-	fmt.Fprintf(out, "%d proxies, %.1f s, %d lines that are no log lines\n", f.proxies, f.last.Sub(f.first).Seconds(), f.Skipped)
+	fmt.Fprintf(out, "%d proxies, %.1f s, %d lines that are not log lines\n", f.proxies, f.lastTime.Sub(f.firstTime).Seconds(), f.Skipped)
 	printRow := func(name string, counts []int) {
 		fmt.Fprintf(out, "%-14s", name)
 		for _, n := range counts {
@@ -171,20 +182,21 @@
 		seconds[i] = i
 	}
 	printRow("second", seconds)
-	for _, kind := range slices.Sorted(maps.Keys(f.events)) {
-		printRow(kind, f.PerSecond(kind))
+	for _, event := range slices.Sorted(maps.Keys(f.eventTimes)) {
+		printRow(event, f.PerSecond(event))
 	}
-	fmt.Fprintln(out, "\ndials by server, of those that have ended")
+	fmt.Fprintln(out, "\ndials by server, ended dials only")
 	for _, server := range f.Servers() {
 		printRow(server, f.DialsPerSecond(server))
 	}
-	fmt.Fprintln(out, "\nlists: when the first proxy had it, how much later half and all had it or a newer one")
-	for _, l := range f.ListLateness() {
-		fmt.Fprintf(out, "revision %-6d %7.2f s  half %s  all %s  never %d\n", l.Revision, l.First.Seconds(), formatDelay(l.Half),
-			formatDelay(l.All), l.Never)
+	fmt.Fprintln(out, "\nlists: when the first proxy had the revision, and how much later half and all had it or a newer one")
+	for _, lateness := range f.ListLateness() {
+		fmt.Fprintf(out, "revision %-6d %7.2f s  half %s  all %s  never %d\n", lateness.Revision, lateness.First.Seconds(), formatDelay(lateness.Half),
+			formatDelay(lateness.All), lateness.Never)
 	}
 }
 
+// formatDelay formats a delay in seconds, or "never" if it is negative.
 func formatDelay(d time.Duration) string {
 	if d < 0 {
 		return "never"
