--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,12 +1,17 @@
-// Package choice decides where sessions go: which server each dial tries, what is answered when none will
-// do, how the list of servers is followed, and when an open session is moved.
-// How it is called: New makes one Balancer for one proxy. Whoever owns the sockets calls its exported
-// methods, one at a time, each with the time since New; ApplyList comes first. The Balancer answers through the
-// Front in types.go, which also has the types of all that goes in. No clock, goroutine or map order.
+// Package choice decides where the sessions of one proxy go: which server each dial tries, what a client is answered when
+// no server will do, when an open session is moved, and how the list of servers is followed. It opens no sockets, reads no
+// clock, starts no goroutine and depends on no map order, so that the same calls with the same random source give the same
+// decisions.
 //
-// The ordinary path: best finds the ready server with the highest x * g(key, server). A round of load samples
-// may lower (above full load: raise) the x of some servers by one common factor: adapt. A server that started
-// a short while ago ramps up: setWeights. All else is an exception; docs/design.md says when each acts.
+// New makes one Balancer for one proxy. The owner of the sockets calls its exported methods, one at a time, each with the
+// time since New; ApplyList comes first. The Balancer answers through the Front. Front and the types of all parameters are
+// in types.go.
+//
+// In the ordinary case a dial goes to the ready server with the highest weight * keyHash(key, server), see topScores (the
+// paper behind the algorithm calls these x and g). After each round of load samples adaptWeights may lower the weights of
+// servers above a load threshold by one common factor (or raise those of servers below it, if the fleet is above full
+// load). The weight of a server that has just started ramps up, see updateWeights. Everything else is an exception;
+// docs/design.md says when each applies.
 package choice
 
 import (
@@ -20,1172 +25,1315 @@
 	"time"
 )
 
+// Throughout this file a server's load is a fraction of what it can carry (1: full), and a session's load is the number of
+// cores that it keeps busy. A server is late if its messages take longer than their target, or if it drops sessions; else
+// it is in time.
+
+// Intervals and lifetimes.
+const (
+	roundInterval       = 2 * time.Second             // between two load samples, each of which is followed by new weights
+	delayReportInterval = roundInterval / 2           // between two reports of a server's message delay while messages are late
+	delayReportLifetime = delayReportInterval * 3 / 2 // a report of a message delay counts for this long
+	minReportElapsed    = delayReportInterval / 2     // least divisor for the growth of the delay between two reports
+	lateShareLifetime   = delayReportInterval / 4     // the result of lateShare is used for this long
+	maxLateRetryPause   = 30 * roundInterval          // the longest that a proxy sends nothing to a late server
+)
+
+// Sizes of buffers, in entries.
+const (
+	loadSamplesKept  = 8       // for each server; after smoothing, older samples have hardly any weight
+	sessionLoadsKept = 64      // reports of session loads that count in an average
+	clientLoadsKept  = 1 << 14 // clients whose last load is kept for their next session; when full, all are dropped
+	triedServersKept = 8       // for each session: servers that it has dialed and does not dial again
+	minRingCapacity  = 8       // of a timeRing when it first grows
+)
+
+// Weights, which follow the servers' loads.
+const (
+	smoothingDivisor  = 3        // a new load sample has a weight of 1/smoothingDivisor (r in the paper)
+	hysteresis        = 0.1      // least distance of the threshold from the mean load, as a share of it (eps in the paper)
+	minKeyShare       = 1.0 / 32 // a lowered weight leaves a server this share of its keys at least
+	assumedLoad       = 0.5      // load of the fleet while servers report none
+	modelLearningRate = 0.25     // a model's speed falls by the factor e^-0.25 for each late report beyond the model's part
+	maxModelSpeed     = 4.0      // a model's speed stays between 1/4 of the listed one and 4 times it
+)
+
+// Late servers.
+const (
+	fullLoad           = 2.0 / 3 // observed load from which a server gets nothing new: messages take a third of their target
+	maxDelayRatio      = 3       // a message delay counts as 3 times the target at most
+	usualDelayDivisor  = 3       // messages at a server without a backlog are taken to need a third of their target
+	minLoadRatio       = 0.5     // least ratio of load to capacity that two reports of a delay can show
+	maxLoadRatio       = 2       // greatest such ratio
+	limitMargin        = 0.85    // the limit learnt from a late server, as a share of the load that it could carry
+	limitRecovery      = 0.05    // share by which a limit rises in a round, for each round since the server was late
+	maxBacklogShare    = 0.4     // most of a late server's capacity that is kept free for its backlog
+	dropDivisor        = 4       // a server is late if it drops more than 1/4 of its sessions within a delayReportInterval
+	lateRetryIntervals = 4       // delayReportIntervals in which all proxies together send a late server its fair share again
+	lateSharePrior     = 2.0     // servers in time that lateShare adds, so that one late server of few says little
+	minUtility         = 1e-9    // replaces a utility of 0 where it divides
+)
+
+// Candidates of a dial: the servers with the highest scores for the session's key, of which one with room is chosen.
 const (
-	roundSpan   = 2 * time.Second // rounds of load samples
-	noteSpan    = roundSpan / 2   // messages' delay is told this often while it is long
-	smoothing   = 3               // r: a new sample counts for one r-th
-	wordShare   = 0.01            // of the utility of a proxy's sessions, for its words to other proxies
-	hysteresis  = 0.1             // eps
-	samplesKept = 8               // per server; smoothing forgets what is older
-	loadsKept   = 64              // of sessions, to know the usual one
-	clientsKept = 1 << 14         // whose loads are remembered
-	triesRest   = 4               // seconds in which all proxies together try a late server's fair sessions
-	mostRest    = 30 * roundSpan
-	mostDepth   = 16       // of scores that any session may go down
-	leastDepth  = 2        // that a group may go down
-	parts       = 2        // of a group, where there are
-	someProxies = 3        // for each server, or more, and each
-	heardOf     = 8        // hears of less than one server in so many
-	spread      = 2        // and more for each server that its part would fill, while servers are in time
-	leastShare  = 1.0 / 32 // a lowered weight leaves this share of the usual one
-	backOff     = 0.85     // of what a late server carries, for the next time
-	mostDrain   = 0.4      // of what a server can do, kept free for what is piled up
-	regain      = 0.05     // of a learnt limit, for each round that a server has been quiet
-	assumedLoad = 0.5      // of a server about which nothing is told
-	dropShare   = 4        // one in so many of its sessions, dropped in a note's span, shows a server in trouble
-	fullLoad    = 2.0 / 3  // known load that takes nothing new, as when messages take a third of the target
-	modelStep   = 0.25     // of a model's speed, for each late server more than others' servers would have had
-	windowEdge  = 64       // a window may be cut a part of it earlier or later
-	mostSpeed   = 4.0      // times what the listed size tells, or that part of it
+	maxCandidates            = 16 // for any session
+	minGroupCandidates       = 2  // for a session of a group, and
+	groupCandidatesPerServer = 2  // further ones for each server that the group's sessions would fill, while no server is late
 )
 
+// Split groups. A group is split where proxies are many and each observes few servers, see splitGroup.
 const (
-	tokenRound TimerToken = iota
-	tokenAsk              // and on: each timer to ask for the list voids the ones before
+	groupParts             = 2 // parts of a split group
+	splitProxiesPerServer  = 3 // proxies for each server, at least
+	splitServersPerSession = 8 // servers for each session of this proxy, with 2 sessions added, at least
 )
 
-type state int
+// Dials and retries.
+const (
+	minDialDivisor     = 16 // no dial goes out if less than 1/16 of the handshake target is left
+	dialTimeDivisor    = 2  // a dial that can be retried gets half of the handshake target at least, if that is left
+	shedRatio          = 2  // dials are shed if recent failed ones are more than twice the opened ones
+	maxAvoidTimeouts   = 4  // most dial timeouts for which a server that does not answer is avoided
+	toleratedErrors    = 1  // more errors in a row count as no answer, if this proxy holds no session at the server
+	windowSlackDivisor = 64 // 1/64 of the retry budget's window is the slack for other clocks that measure the window
+)
 
+// Cold servers, draining servers, subscriptions and overload reports.
 const (
-	arrived state = iota // placed nowhere; an answer is owed
-	dialing              // one dial is out
-	open                 // a server holds it
-	moving               // sent away in good order; the end of its dial is awaited
-	left                 // the client has gone, a dial is out
-	over                 // nothing more is sent
+	quotaTolerance   = 1e-9 // average sessions: rounding errors of the loads sent in a slot
+	drainMoveDivisor = 2    // each round moves 1/2 of a draining server's load
+	backoffDoublings = 3    // the backoff between subscriptions doubles 3 times until it is at its longest
+	peerReportBudget = 0.01 // share of the worth of this proxy's sessions that its overload reports may cost
 )
 
-var mayEnter = [...][]state{
-	arrived: {dialing, open, over},
-	dialing: {arrived, open, left, over},
-	open:    {moving, left, over},
-	moving:  {over},
-	left:    {over},
-	over:    {},
+// Timer tokens.
+const (
+	tokenRound     TimerToken = iota // of the timer that ends a round
+	tokenSubscribe                   // plus a number: of the timers to subscribe, each of which replaces the one before
+)
+
+type sessionState int
+
+const (
+	statePending    sessionState = iota // no dial is out, and the client is owed an answer
+	stateDialing                        // one dial is out
+	stateOpen                           // a server holds the session
+	stateMoving                         // closed by Front.Move; the end of its dial is yet to be reported
+	stateClientGone                     // the client has gone; the end of its dial is yet to be reported
+	stateEnded                          // final
+)
+
+// validTransitions holds the states that may follow each state.
+var validTransitions = [...][]sessionState{
+	statePending:    {stateDialing, stateOpen, stateEnded},
+	stateDialing:    {statePending, stateOpen, stateClientGone, stateEnded},
+	stateOpen:       {stateMoving, stateClientGone, stateEnded},
+	stateMoving:     {stateEnded},
+	stateClientGone: {stateEnded},
+	stateEnded:      {},
 }
 
-// terms are what a session comes under, and keeps when the settings change.
-type terms struct {
+// listenerSettings are the settings of one listener. A session keeps those that it arrived under when they change.
+type listenerSettings struct {
 	Listener
 	DialLimits
-	loads *mean // of the listener's sessions
+	averageLoad *movingAverage // cores for each of the listener's sessions; kept across a change of settings
 }
 
 type session struct {
 	Arrival
-	*terms
-	mark     Key // by which it is placed
-	state    state
-	deadline time.Duration
-	dials    int
-	tried    [8]*server
-	server   *server       // of the dial that is out, or the holder
-	weighed  float64       // its load as counted in
-	rank     float64       // in the order of leaving its server
-	slot     int           // place among the server's sessions
-	dialedAt time.Duration // of the dial that is out
-	mayRun   bool          // some dial may have run
-	first    *server       // of the first dial that may have run
-	firstAt  time.Duration
-}
-
-// model is what is learnt of the servers of one model: a listed size tells cores, not how fast they are.
+	*listenerSettings
+	placementKey Key // hashed with a server's id for the session's score there
+	state        sessionState
+	deadline     time.Duration             // for the client's answer, in time since New
+	dials        int                       // dials so far
+	triedServers [triedServersKept]*server // servers of the last dials, as a ring
+	server       *server                   // of the dial that is out, or the holder of the open session
+	countedLoad  float64                   // cores counted for it in carriedLoad of its server and of the Balancer
+	moveRank     float64                   // sessions of the highest rank are moved off their server first
+	listIndex    int                       // index in its server's list of dialing or held sessions
+	dialedAt     time.Duration             // of the last dial; -1: the client left an open session
+	mayHaveRun   bool                      // some dial may have run the session
+	firstServer  *server                   // of the first dial that may have run the session
+	firstDialAt  time.Duration             // when that dial went out
+}
+
+// model holds what is learnt of the servers of one hardware model. A listed size is a number of cores or the like, and does
+// not tell how fast these are.
 type model struct {
-	id          ModelID
-	speed       float64 // by which listed sizes count, as against other models'
-	late, heard float64 // of its servers, since the last round
+	id              ModelID
+	speed           float64 // multiplies the listed sizes of its servers
+	lateReports     float64 // reports of late messages from its servers, this round
+	observedServers float64 // its servers of which this proxy observes anything, at the end of the round
 }
 
 type server struct {
 	Entry
-	model          *model
-	able           float64 // its size, by what its model is known to do
-	listed         int     // the last list that named it
-	base, factor   float64 // multiplier from the listed sizes, and what adapting made of it
-	x              float64 // both, or the ramp, as of the last list or round
-	samples        [samplesKept]float64
-	sampled        int
-	dialing, held  []*session
-	carried        float64       // load of this proxy's sessions there
-	full           float64       // what it could carry of them, 0 while never seen late
-	delay, delayAt time.Duration // of messages, as noted last
-	lateAt         time.Duration // when it was last seen late
-	saidAt         time.Duration // when a line about it was logged
-	awayUntil      time.Duration // while it sends its own sessions away
-	missed         int           // dials unanswered since the last answer
-	errors         int           // dials that failed since, with no session held
-	avoidUntil     time.Duration
-	drained        bool          // a drain was told, which is never untold; a later start ends it
-	drainOf        time.Duration // the start that the drain is of
-	frame          int           // of the window that the turn is worked out for
-	turn           float64       // load in usual sessions that this proxy may send in it
-	lift           float64       // share of keys that it takes for that
-	sent           float64       // of the turn
-	drops          int           // of sessions, in the span since droppedAt
-	droppedAt      time.Duration
-}
-
-// Balancer decides for one proxy.
+	model         *model
+	effectiveSize float64 // the listed size times the model's speed, scaled so that the fleet's sum is the listed one
+	lastList      int     // number of the last list that named it
+	baseWeight    float64 // weight by which servers get keys in proportion to their sizes
+	adaptFactor   float64 // multiplies baseWeight, by what load samples showed
+	weight        float64 // of both, or on the ramp of a cold server, as of the last list or round
+	loadSamples   [loadSamplesKept]float64
+	sampleCount   int
+	dialing       []*session // sessions that have a dial to it out
+	held          []*session // open sessions
+
+	carriedLoad      float64       // cores, of this proxy's sessions that are dialing or held
+	loadLimit        float64       // cores that it can carry of this proxy's sessions; 0: not known, as it was never late
+	messageDelay     time.Duration // that a message takes, as reported last
+	delayReportedAt  time.Duration
+	lateAt           time.Duration // when it was last seen late; 0: never
+	loggedAt         time.Duration // when a line about it was last logged; 0: never
+	drainNoticeUntil time.Duration // gets nothing new until then, as it has moved a session away by itself
+	unansweredDials  int           // dials in a row without an answer
+	failedDials      int           // dials in a row that failed with an error, while this proxy held no session there
+	avoidUntil       time.Duration // gets nothing until then, as it did not answer
+	drainListed      bool          // a list showed it draining; only a later start ends that
+	drainedStart     time.Duration // the start of the process that drains
+
+	// This proxy's quota of load while the server is cold, see updateSlotQuota.
+	quotaSlot    int     // number of the time slot that the quota is for, plus 1; 0: none
+	slotQuota    float64 // load that this proxy may send in the slot, in average sessions
+	slotKeyShare float64 // share of this proxy's keys that go to the server in the slot
+	slotSent     float64 // used of slotQuota
+
+	droppedSessions int // sessions that it dropped since dropsSince
+	dropsSince      time.Duration
+}
+
+// Balancer makes the decisions of one proxy. It is not safe for concurrent use.
 type Balancer struct {
-	front  Front
-	chance *rand.Rand
-	terms  []*terms // by listeners' ids
-	budget RetryBudget
-	list   ListSettings
-	cold   ColdSettings
-	words  PeerReportSettings
-
-	now                            time.Duration
-	lists                          int
-	servers                        []*server // in the order of their ids, gone ones too
-	byID                           map[ServerID]*server
-	ready                          []*server
-	models                         []*model
-	bySize                         []*server // ready ones, the smallest first
-	lanes                          []lane    // of the ready ones
-	sizes                          float64   // of all ready servers together, listed or able
-	meanFactor                     float64
-	limit                          float64            // the threshold of the last round
-	calm                           float64            // most sessions for each unit of size in time
-	saidAt, saidListAt, saidWordAt time.Duration      // when refusing, a failed subscription, a word were logged
-	loadOf                         map[Key]float64    // of clients, as noted last
-	groups                         map[Key]int        // sessions dialing or held
-	carried                        float64            // load of all sessions dialing or held
-	loads                          [loadsKept]float64 // of sessions, as noted last
-	noted                          int
-	usualLoad                      float64 // mean of those, 1 with none
-	sessions                       map[SessionID]*session
-	ramping                        []*server     // ready and cold
-	coldHeld                       time.Duration // cold servers get nothing until then
-	taken, further                 ring          // times of sessions, and of dials beyond their first
-	furtherHeld                    time.Duration // no further dials until then
-	opened, failed                 float64       // dials, each round half of them forgotten
-	watching                       bool          // the list is subscribed to
-	arrivals, told                 int           // sessions that did not come back, words to other proxies
-	askFails                       int
-	asks                           TimerToken // timers to ask for the list, so far
-	lateOfHeard                    float64    // as of lateShareAt
-	lateShareAt                    time.Duration
-	longestWait                    time.Duration // dial timeout of the most patient listener
-	messageTarget                  time.Duration // the shortest
-	top                            [mostDepth]scored
-}
-
-type scored struct {
+	front        Front
+	rng          *rand.Rand
+	listeners    []*listenerSettings // by ListenerID
+	retryBudget  RetryBudget
+	listSettings ListSettings
+	coldSettings ColdSettings
+	peerReports  PeerReportSettings
+
+	now              time.Duration // time since New, as given by the last call
+	listCount        int           // lists applied so far
+	servers          []*server     // ordered by id, Gone ones too
+	serverByID       map[ServerID]*server
+	ready            []*server // servers that the list lets be dialed, ordered by id
+	models           []*model
+	bySize           []*server    // the ready servers, the smallest first
+	scoring          []scoringRow // of the ready servers, in the same order
+	totalSize        float64      // of the ready servers, the same for listed and effective sizes
+	meanAdaptFactor  float64      // of the ready servers
+	loadThreshold    float64      // load above which a server counts as loaded, as of the last round
+	sustainedDensity float64      // the most sessions of this proxy for each unit of size that servers in time have held
+
+	refusalLoggedAt     time.Duration // when the last line of a kind was logged, see logLimited
+	listFailureLoggedAt time.Duration
+	peerReportLoggedAt  time.Duration
+
+	clientLoads         map[Key]float64           // cores, of each client's session that reported last
+	groupSessions       map[Key]int               // number of sessions dialing or held, by group
+	carriedLoad         float64                   // cores, of all sessions dialing or held
+	sessionLoads        [sessionLoadsKept]float64 // cores, as reported last, as a ring
+	sessionLoadCount    int                       // reports of session loads so far
+	averageSessionLoad  float64                   // mean of sessionLoads in cores; 1 without reports
+	sessions            map[SessionID]*session
+	rampingServers      []*server     // the ready servers that are cold
+	coldBlockedUntil    time.Duration // cold servers get nothing until then
+	arrivalTimes        timeRing      // of sessions, for the retry budget
+	retryTimes          timeRing      // of dials beyond their session's first, for the retry budget
+	retriesBlockedUntil time.Duration // no retry until then
+	recentOpened        float64       // dials that opened a session, halved each round
+	recentFailed        float64       // dials that failed or timed out, halved each round
+	subscribed          bool          // a subscription to the list is open
+	newSessions         int           // sessions so far, without those that reconnected
+	publishedReports    int           // overload reports so far
+	subscribeFailures   int           // failed subscriptions in a row
+	subscribeTimers     TimerToken    // timers to subscribe so far; only the last counts
+	cachedLateShare     float64       // result of lateShare at lateShareComputedAt
+	lateShareComputedAt time.Duration
+	maxDialTimeout      time.Duration               // the longest of all listeners
+	minMessageTarget    time.Duration               // the shortest of all listeners that have one
+	scoreBuffer         [maxCandidates]scoredServer // result of the last topScores
+}
+
+// scoredServer is a server with its score for one session.
+type scoredServer struct {
 	*server
 	score float64
 }
 
-// New makes a balancer and starts following the list.
-func New(front Front, chance *rand.Rand, listeners []Listener, dials DialLimits, budget RetryBudget,
-	list ListSettings, cold ColdSettings, words PeerReportSettings) *Balancer {
-	b := &Balancer{front: front, chance: chance, byID: map[ServerID]*server{},
-		sessions: map[SessionID]*session{}, loadOf: map[Key]float64{}, groups: map[Key]int{},
-		meanFactor: 1, usualLoad: 1, limit: threshold(assumedLoad)}
-	b.take(listeners, dials, budget, list, cold, words)
-	b.front.StartTimer(roundSpan, tokenRound)
-	b.ask()
+// New returns a Balancer for one proxy, starts its rounds and subscribes to the list of servers if that needs it. All
+// random choices are drawn from rng.
+func New(front Front, rng *rand.Rand, listeners []Listener, dials DialLimits, budget RetryBudget,
+	list ListSettings, cold ColdSettings, peerReports PeerReportSettings) *Balancer {
+	b := &Balancer{front: front, rng: rng, serverByID: map[ServerID]*server{},
+		sessions: map[SessionID]*session{}, clientLoads: map[Key]float64{}, groupSessions: map[Key]int{},
+		meanAdaptFactor: 1, averageSessionLoad: 1, loadThreshold: thresholdFor(assumedLoad)}
+	b.applySettings(listeners, dials, budget, list, cold, peerReports)
+	b.front.StartTimer(roundInterval, tokenRound)
+	b.subscribe()
 	return b
 }
 
-// Reconfigure takes other settings. What was learnt stays, and each session keeps its terms; ids of listeners are
-// by the new settings from now on. Turns at cold servers are dealt anew, and nothing goes there for a window,
-// so that none meets turns by both rules.
+// Reconfigure replaces the settings. What was learnt stays, and each session keeps the settings that it arrived under; a
+// ListenerID belongs to the new settings from now on. If the cold settings change, all quotas for cold servers are worked
+// out anew, and nothing goes there for the longer of the two overload windows, so that no window meets quotas by both
+// settings.
 func (b *Balancer) Reconfigure(now time.Duration, listeners []Listener, dials DialLimits, budget RetryBudget,
-	list ListSettings, cold ColdSettings, words PeerReportSettings) {
+	list ListSettings, cold ColdSettings, peerReports PeerReportSettings) {
 	b.now = now
-	if more := budget.Window - b.budget.Window; more > 0 { // what was dialed then is not known any more
-		b.furtherHeld = max(b.furtherHeld, now+more)
+	if windowGrowth := budget.Window - b.retryBudget.Window; windowGrowth > 0 { // older retries are no longer known
+		b.retriesBlockedUntil = max(b.retriesBlockedUntil, now+windowGrowth)
 	}
-	if cold != b.cold {
-		b.coldHeld = now + max(cold.OverloadWindow, b.cold.OverloadWindow)
+	if cold != b.coldSettings {
+		b.coldBlockedUntil = now + max(cold.OverloadWindow, b.coldSettings.OverloadWindow)
 		for _, srv := range b.servers {
-			srv.frame = 0
+			srv.quotaSlot = 0
 		}
 	}
-	watched := b.list.NeedsSubscription
-	b.take(listeners, dials, budget, list, cold, words)
-	b.listReady()
-	if !watched {
-		b.ask()
+	subscriptionNeeded := b.listSettings.NeedsSubscription
+	b.applySettings(listeners, dials, budget, list, cold, peerReports)
+	b.rebuildReady()
+	if !subscriptionNeeded {
+		b.subscribe()
 	}
 }
 
 // SessionSettings returns the present settings of a listener, to be kept with a session that arrives now.
-func (b *Balancer) SessionSettings(l ListenerID) SessionSettings { return SessionSettings{b.terms[l]} }
-
-func (b *Balancer) take(listeners []Listener, dials DialLimits, budget RetryBudget, list ListSettings,
-	cold ColdSettings, words PeerReportSettings) {
-	was := b.terms
-	b.terms, b.budget, b.list, b.cold, b.words = nil, budget, list, cold, words
-	b.longestWait, b.messageTarget = 0, math.MaxInt64
-	for _, l := range listeners {
-		next := &terms{l, dials, &mean{}}
-		if at := slices.IndexFunc(was, func(t *terms) bool { return t.Name == l.Name }); at >= 0 {
-			next.loads = was[at].loads
+func (b *Balancer) SessionSettings(listener ListenerID) SessionSettings {
+	return SessionSettings{b.listeners[listener]}
+}
+
+// applySettings takes all settings over. Listeners that keep their name keep the average load of their sessions.
+func (b *Balancer) applySettings(listeners []Listener, dials DialLimits, budget RetryBudget, list ListSettings,
+	cold ColdSettings, peerReports PeerReportSettings) {
+	previous := b.listeners
+	b.listeners, b.retryBudget, b.listSettings, b.coldSettings, b.peerReports = nil, budget, list, cold, peerReports
+	b.maxDialTimeout, b.minMessageTarget = 0, math.MaxInt64
+	for _, listener := range listeners {
+		next := &listenerSettings{listener, dials, &movingAverage{}}
+		if index := slices.IndexFunc(previous, func(old *listenerSettings) bool {
+			return old.Name == listener.Name
+		}); index >= 0 {
+			next.averageLoad = previous[index].averageLoad
 		}
-		b.terms = append(b.terms, next)
-		b.longestWait = max(b.longestWait, l.DialTimeout)
-		if l.MessageTarget > 0 {
-			b.messageTarget = min(b.messageTarget, l.MessageTarget)
+		b.listeners = append(b.listeners, next)
+		b.maxDialTimeout = max(b.maxDialTimeout, listener.DialTimeout)
+		if listener.MessageTarget > 0 {
+			b.minMessageTarget = min(b.minMessageTarget, listener.MessageTarget)
 		}
 	}
 }
 
-// The ordinary path.
+// Weights and scores.
 
-// draw is g: a fixed mix of key and server into (0,1), the same at all proxies.
-func draw(key Key, id ServerID) float64 { return unit(mix(uint64(key)), mix(uint64(id)+1)) }
+// keyHash hashes a key and a server to a number within (0,1), the same at all proxies (g in the paper).
+func keyHash(key Key, id ServerID) float64 {
+	return combineHashes(mixBits(uint64(key)), mixBits(uint64(id)+1))
+}
 
-func mix(z uint64) uint64 {
+// mixBits spreads the bits of a number over all 64 bits (the finalizer of SplitMix64).
+func mixBits(z uint64) uint64 {
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return z ^ z>>31
 }
 
-// unit folds two mixed numbers into (0,1).
-func unit(key, seed uint64) float64 {
+// combineHashes folds two numbers from mixBits into one within (0,1).
+func combineHashes(key, seed uint64) float64 {
 	high, low := bits.Mul64(key^seed, 0x9e3779b97f4a7c15)
 	return (float64((high^low)>>11) + 0.5) / (1 << 53)
 }
 
-// lane is what a pick reads of a server; all lanes stand side by side, as a pick must cost little.
-type lane struct {
-	seed uint64
-	x    float64
+// scoringRow is what topScores reads of a server. All rows lie side by side in memory, as each dial reads them all.
+type scoringRow struct {
+	seed   uint64  // hash of the server's id
+	weight float64 // as in server
 }
 
-// setWeights sets every x, once for each list and round. A cold server's share of keys grows with what it can
-// do, so its x follows the root of the share.
-func (b *Balancer) setWeights() {
-	b.meanFactor = 1
-	if m := len(b.ready); m > 0 {
+// updateWeights sets the weight of every ready server, once for each list and round. A cold server's share of the keys
+// should grow with its capacity share. With n servers a share of keys goes with about the (n-1)th power of the weight, so
+// the weight follows that root of the capacity share.
+func (b *Balancer) updateWeights() {
+	b.meanAdaptFactor = 1
+	if count := len(b.ready); count > 0 {
 		sum := 0.0
 		for _, srv := range b.ready {
-			sum += srv.factor
+			sum += srv.adaptFactor
 		}
-		b.meanFactor = sum / float64(m)
+		b.meanAdaptFactor = sum / float64(count)
 	}
-	b.ramping = b.ramping[:0]
+	b.rampingServers = b.rampingServers[:0]
 	for i, srv := range b.ready {
-		srv.x = srv.base * srv.factor
-		if warmth := b.warmth(srv); warmth < 1 {
-			b.ramping = append(b.ramping, srv)
-			srv.x = srv.base * b.meanFactor * math.Pow(warmth, 1/float64(max(len(b.ready)-1, 1)))
+		srv.weight = srv.baseWeight * srv.adaptFactor
+		if capacity := b.capacityShare(srv); capacity < 1 {
+			b.rampingServers = append(b.rampingServers, srv)
+			srv.weight = srv.baseWeight * b.meanAdaptFactor * math.Pow(capacity, 1/float64(max(len(b.ready)-1, 1)))
 		}
-		b.lanes[i].x = srv.x
+		b.scoring[i].weight = srv.weight
 	}
 }
 
-// best returns the highest scores for the session's key among the ready servers that may pass, at most depth
-// of them, in one pass over the fleet. They are good until the next call.
-func (b *Balancer) best(s *session, depth int, may func(*Balancer, *session, *server) bool) []scored {
-	top, key := b.top[:0], mix(uint64(s.mark))
-	depth = min(depth, len(b.top))
-	least := 0.0
-	for i := range b.lanes {
-		score := b.lanes[i].x * unit(key, b.lanes[i].seed)
-		if score <= least || !may(b, s, b.ready[i]) {
+// topScores returns the ready servers with the highest scores for the session's key, in falling order: of those that
+// eligible lets pass, limit at most. It takes one pass over the fleet. The result is valid until the next call.
+func (b *Balancer) topScores(s *session, limit int, eligible func(*Balancer, *session, *server) bool) []scoredServer {
+	top, key := b.scoreBuffer[:0], mixBits(uint64(s.placementKey))
+	limit = min(limit, len(b.scoreBuffer))
+	lowest := 0.0
+	for i := range b.scoring {
+		score := b.scoring[i].weight * combineHashes(key, b.scoring[i].seed)
+		if score <= lowest || !eligible(b, s, b.ready[i]) {
 			continue
 		}
-		if len(top) < depth {
+		if len(top) < limit {
 			top = top[:len(top)+1]
 		}
-		at := len(top) - 1
-		for ; at > 0 && top[at-1].score < score; at-- {
-			top[at] = top[at-1]
+		position := len(top) - 1
+		for ; position > 0 && top[position-1].score < score; position-- {
+			top[position] = top[position-1]
 		}
-		top[at] = scored{b.ready[i], score}
-		if len(top) == depth {
-			least = top[depth-1].score
+		top[position] = scoredServer{b.ready[i], score}
+		if len(top) == limit {
+			lowest = top[limit-1].score
 		}
 	}
 	return top
 }
 
-// pick returns the top score, or nil.
-func (b *Balancer) pick(s *session, may func(*Balancer, *session, *server) bool) *server {
-	if top := b.best(s, 1, may); len(top) > 0 {
+// pick returns the eligible server with the highest score, or nil.
+func (b *Balancer) pick(s *session, eligible func(*Balancer, *session, *server) bool) *server {
+	if top := b.topScores(s, 1, eligible); len(top) > 0 {
 		return top[0].server
 	}
 	return nil
 }
 
-// multipliers sets base from the sizes, which are shares: Ross's recursion, from the smallest share up. Sizes
-// are the listed ones times their model's speed, and in sum the listed ones.
-func (b *Balancer) multipliers() {
+// computeBaseWeights sets the base weights of the ready servers, so that each gets keys in proportion to its effective
+// size: Ross's recursion, from the smallest share of the fleet up. An effective size is the listed one times the model's
+// speed, scaled so that all together are the sum of the listed ones.
+func (b *Balancer) computeBaseWeights() {
 	b.bySize = append(b.bySize[:0], b.ready...)
-	able := 0.0
-	b.sizes = 0
+	speedTotal := 0.0
+	b.totalSize = 0
 	for _, srv := range b.ready {
-		b.sizes += srv.Size
-		able += srv.Size * srv.model.speed
+		b.totalSize += srv.Size
+		speedTotal += srv.Size * srv.model.speed
 	}
 	for _, srv := range b.ready {
-		srv.able = srv.Size * srv.model.speed * b.sizes / able
+		srv.effectiveSize = srv.Size * srv.model.speed * b.totalSize / speedTotal
 	}
-	slices.SortStableFunc(b.bySize, func(a, c *server) int { return cmp.Compare(a.able, c.able) })
-	product, before, x := 1.0, 0.0, 0.0
+	slices.SortStableFunc(b.bySize, func(a, c *server) int { return cmp.Compare(a.effectiveSize, c.effectiveSize) })
+	product, previousShare, weight := 1.0, 0.0, 0.0
 	for i, srv := range b.bySize {
-		rest, share := float64(len(b.bySize)-i), srv.able/b.sizes
-		if share > before { // among equals it stays
-			x = math.Pow(rest*(share-before)/product+math.Pow(x, rest), 1/rest)
+		remaining, share := float64(len(b.bySize)-i), srv.effectiveSize/b.totalSize
+		if share > previousShare { // servers of equal size have equal weights
+			weight = math.Pow(remaining*(share-previousShare)/product+math.Pow(weight, remaining), 1/remaining)
 		}
-		product *= x
-		before = share
-		srv.base = x
+		product *= weight
+		previousShare = share
+		srv.baseWeight = weight
 	}
 }
 
-// learnModels guards against sizes that tell nothing of speed: servers of a slow model are late more often
-// than others that hold as much, and each proxy hears of too few to learn it of every one. A model's speed
-// falls with each late server more, and rises with each less, than if all models' were late alike.
-func (b *Balancer) learnModels() {
-	late, heard := 0.0, 0.0
+// updateModelSpeeds guards against listed sizes that say nothing of a server's speed. Servers of a slow model are late more
+// often than others with as many sessions, but each proxy observes too few servers to learn this of each by itself. So a
+// model's speed falls with each late report that it has beyond its part, and rises with each one below, where the part is
+// what it would have if all observed servers were late equally often.
+func (b *Balancer) updateModelSpeeds() {
+	lateReports, observedServers := 0.0, 0.0
 	for _, m := range b.models {
-		late += m.late
+		lateReports += m.lateReports
 	}
-	if late == 0 {
+	if lateReports == 0 {
 		return
 	}
 	for _, srv := range b.ready {
-		if len(srv.held) > 0 || srv.lateAt > b.now-roundSpan {
-			srv.model.heard++
-			heard++
+		if len(srv.held) > 0 || srv.lateAt > b.now-roundInterval {
+			srv.model.observedServers++
+			observedServers++
 		}
 	}
 	for _, m := range b.models {
-		if heard > 0 {
-			m.speed *= math.Exp(-modelStep * (m.late - late*m.heard/heard))
-			m.speed = min(max(m.speed, 1/mostSpeed), mostSpeed) // however long one model has the bad luck
+		if observedServers > 0 {
+			m.speed *= math.Exp(-modelLearningRate * (m.lateReports - lateReports*m.observedServers/observedServers))
+			m.speed = min(max(m.speed, 1/maxModelSpeed), maxModelSpeed) // even if one model is late for long by chance
 		}
-		m.late, m.heard = 0, 0
+		m.lateReports, m.observedServers = 0, 0
 	}
-	b.multipliers()
+	b.computeBaseWeights()
 }
 
-// smoothed is rho-bar over the kept samples.
-func (srv *server) smoothed() float64 {
-	first := max(srv.sampled-samplesKept, 0)
-	rho := srv.samples[first%samplesKept]
-	for i := first + 1; i < srv.sampled; i++ {
-		rho = srv.samples[i%samplesKept]/smoothing + rho*(smoothing-1)/smoothing
+// smoothedLoad is the exponentially smoothed load over the kept samples (rho-bar in the paper).
+func (srv *server) smoothedLoad() float64 {
+	first := max(srv.sampleCount-loadSamplesKept, 0)
+	load := srv.loadSamples[first%loadSamplesKept]
+	for i := first + 1; i < srv.sampleCount; i++ {
+		load = srv.loadSamples[i%loadSamplesKept]/smoothingDivisor + load*(smoothingDivisor-1)/smoothingDivisor
 	}
-	return rho
+	return load
 }
 
-func (srv *server) sample(rho float64) {
-	srv.samples[srv.sampled%samplesKept] = rho
-	srv.sampled++
+// addLoadSample records the server's load in this round.
+func (srv *server) addLoadSample(load float64) {
+	srv.loadSamples[srv.sampleCount%loadSamplesKept] = load
+	srv.sampleCount++
 }
 
-// threshold is the load beyond which adapting acts, for a mean load rho.
-func threshold(rho float64) float64 {
-	if rho <= 1 {
-		return max((1+rho)/2, (1+hysteresis)*rho)
+// thresholdFor returns the load beyond which adaptWeights acts, for a mean load of the fleet (rho in the paper): halfway
+// between the mean and full load, and off the mean by the hysteresis at least. It lies above a mean up to 1, and below a
+// higher one.
+func thresholdFor(meanLoad float64) float64 {
+	if meanLoad <= 1 {
+		return max((1+meanLoad)/2, (1+hysteresis)*meanLoad)
 	}
-	return min((1+rho)/2, (1-hysteresis)*rho)
+	return min((1+meanLoad)/2, (1-hysteresis)*meanLoad)
 }
 
-// adapt multiplies the weights of all servers beyond the threshold by one factor.
-func (b *Balancer) adapt() {
+// adaptWeights multiplies the weights of all servers beyond the threshold by one factor, by which the nearest of them would
+// reach the threshold. A weight stays high enough for the server to keep minKeyShare of its keys.
+func (b *Balancer) adaptWeights() {
 	if len(b.ready) == 0 {
 		return
 	}
-	sum, m := 0.0, float64(len(b.ready))
+	sum, serverCount := 0.0, float64(len(b.ready))
 	for _, srv := range b.ready {
-		sum += srv.smoothed()
+		sum += srv.smoothedLoad()
 	}
-	rho := sum / m
-	limit := threshold(rho)
-	b.limit = max(limit, rho)
+	meanLoad := sum / serverCount
+	threshold := thresholdFor(meanLoad)
+	b.loadThreshold = max(threshold, meanLoad)
 	beyond := func(srv *server) bool {
-		return rho <= 1 && srv.smoothed() > limit || rho > 1 && srv.smoothed() < limit
+		return meanLoad <= 1 && srv.smoothedLoad() > threshold || meanLoad > 1 && srv.smoothedLoad() < threshold
 	}
-	nearest := 0.0
+	nearestLoad := 0.0
 	for _, srv := range b.ready {
-		if beyond(srv) && (nearest == 0 || (srv.smoothed() < nearest) == (rho <= 1)) {
-			nearest = srv.smoothed()
+		if beyond(srv) && (nearestLoad == 0 || (srv.smoothedLoad() < nearestLoad) == (meanLoad <= 1)) {
+			nearestLoad = srv.smoothedLoad()
 		}
 	}
-	if nearest <= 0 {
+	if nearestLoad <= 0 {
 		return
 	}
-	c := math.Pow(limit/nearest, 1/math.Log2(m))
-	least := math.Pow(leastShare, 1/(m-1))
+	scale := math.Pow(threshold/nearestLoad, 1/math.Log2(serverCount))
+	minFactor := math.Pow(minKeyShare, 1/(serverCount-1))
 	for _, srv := range b.ready {
 		if beyond(srv) {
-			srv.factor = max(srv.factor*c, least*b.meanFactor)
+			srv.adaptFactor = max(srv.adaptFactor*scale, minFactor*b.meanAdaptFactor)
 		}
 	}
 }
 
-// known is a server's load by what it told or showed, 0 if nothing.
-func (b *Balancer) known(srv *server) float64 {
-	rho := 0.0
-	if srv.full > 0 {
-		rho = srv.carried / srv.full
+// observedLoad returns a server's load by its learnt limit and its reported delay, whichever shows more; 0 if neither is
+// known. A delay of 0 counts as a load of 1/2, one on target as full, and one of three times the target as 2.
+func (b *Balancer) observedLoad(srv *server) float64 {
+	load := 0.0
+	if srv.loadLimit > 0 {
+		load = srv.carriedLoad / srv.loadLimit
 	}
-	if b.now-srv.delayAt < noteSpan*3/2 {
-		rho = max(rho, (1+min(float64(srv.delay)/float64(b.messageTarget), 3))/2)
+	if b.now-srv.delayReportedAt < delayReportLifetime {
+		load = max(load, (1+min(float64(srv.messageDelay)/float64(b.minMessageTarget), maxDelayRatio))/2)
 	}
-	return rho
+	return load
 }
 
-// loaded is a server's load as far as it can be told, with some more: also by this proxy's sessions there.
-func (b *Balancer) loaded(srv *server, more float64) float64 {
-	if b.carried == 0 {
-		return b.known(srv)
+// estimatedLoad returns a server's load, if it is given extraLoad cores: what is observed, or what this proxy's sessions
+// there suggest, if that is more. For the latter the fleet is taken to run at assumedLoad when this proxy's sessions are
+// spread by capacity.
+func (b *Balancer) estimatedLoad(srv *server, extraLoad float64) float64 {
+	if b.carriedLoad == 0 {
+		return b.observedLoad(srv)
 	}
-	fair := b.part(srv) * b.warmth(srv) * (b.carried + more)
-	return max(b.known(srv), assumedLoad*(srv.carried+more)/fair)
+	fairLoad := b.fleetShare(srv) * b.capacityShare(srv) * (b.carriedLoad + extraLoad)
+	return max(b.observedLoad(srv), assumedLoad*(srv.carriedLoad+extraLoad)/fairLoad)
 }
 
-// late learns from late messages and dropped sessions how much a server can carry. While work is piled up the
-// delay grows by the load beyond capacity, and shrinks by what is short of it. What is piled up keeps all
-// sessions late, so the server is relieved of more until that has gone.
-func (b *Balancer) late(srv *server, growth float64, piledUp time.Duration) {
+// handleLate learns from late messages and dropped sessions how much a server can carry, and moves the excess away. While
+// there is a backlog, the delay grows as fast as load exceeds capacity, and shrinks as fast as load falls short of it:
+// growth is the change of the delay in seconds for each second. The backlog keeps all messages late until it is worked off,
+// so the server is relieved of more than the excess; backlog is the time that it takes to work off.
+func (b *Balancer) handleLate(srv *server, growth float64, backlog time.Duration) {
 	srv.lateAt = b.now
-	able := srv.carried / min(max(1+growth, 0.5), 2)
-	if full := backOff * able; srv.full == 0 || full < srv.full {
-		srv.full = full
+	sustainableLoad := srv.carriedLoad / min(max(1+growth, minLoadRatio), maxLoadRatio)
+	if limit := limitMargin * sustainableLoad; srv.loadLimit == 0 || limit < srv.loadLimit {
+		srv.loadLimit = limit
 	}
-	b.say(&srv.saidAt, "server %d: messages late or sessions dropped, %d held", srv.ID, len(srv.held))
-	b.relieve(srv, able*(1-min(float64(piledUp)/float64(noteSpan), mostDrain)))
+	b.logLimited(&srv.loggedAt, "server %d: messages late or sessions dropped, %d held", srv.ID, len(srv.held))
+	b.relieveServer(srv, sustainableLoad*(1-min(float64(backlog)/float64(delayReportInterval), maxBacklogShare)))
 }
 
-// dropped guards against taking a connection that the network broke for a server with too much piled up, or
-// lost: that one drops a good part of its sessions at once, or is known to be loaded.
-func (b *Balancer) dropped(srv *server) {
-	if b.now-srv.droppedAt > noteSpan {
-		srv.drops, srv.droppedAt = 0, b.now
+// recordDrop counts a session whose connection broke. One that the network broke must not count against the server, so this
+// is taken for a sign of overload or of a crash only if the server drops a good part of its sessions at once, or is known
+// to be loaded.
+func (b *Balancer) recordDrop(srv *server) {
+	if b.now-srv.dropsSince > delayReportInterval {
+		srv.droppedSessions, srv.dropsSince = 0, b.now
 	}
-	if srv.drops++; srv.drops*dropShare > len(srv.held) || b.known(srv) > b.limit {
-		b.late(srv, 0, 0)
+	if srv.droppedSessions++; srv.droppedSessions*dropDivisor > len(srv.held) || b.observedLoad(srv) > b.loadThreshold {
+		b.handleLate(srv, 0, 0)
 	}
 }
 
-// part is a server's share of the fleet.
-func (b *Balancer) part(srv *server) float64 { return srv.able / b.sizes }
+// fleetShare returns a server's share of the total size of the ready servers.
+func (b *Balancer) fleetShare(srv *server) float64 { return srv.effectiveSize / b.totalSize }
 
 // Cold servers.
 
-// warmth is the share of its work that a server can surely do: it never warms slower than evenly over the
-// span.
-func (b *Balancer) warmth(srv *server) float64 {
-	if !srv.StartKnown || b.cold.RampDuration <= 0 || b.now-srv.StartedAt >= b.cold.RampDuration {
+// capacityShare returns the share of its full capacity that a server has at least: 1 once it is warm. A cold server warms
+// no slower than linearly over the ramp.
+func (b *Balancer) capacityShare(srv *server) float64 {
+	if !srv.StartKnown || b.coldSettings.RampDuration <= 0 || b.now-srv.StartedAt >= b.coldSettings.RampDuration {
 		return 1
 	}
 	age := max(b.now-srv.StartedAt, 0)
-	return b.cold.InitialShare + (1-b.cold.InitialShare)*float64(age)/float64(b.cold.RampDuration)
-}
-
-// overBudget guards against pushing a cold server over. All proxies together send it no more than a multiple
-// of what it can surely do, in every window and whatever comes, without a word between them: time since its
-// start, which all are told alike, goes in frames of a window, each proxy has a place of its own in a frame's
-// order, and only the first few places have a turn. A window meets two frames, whose turns add up to the
-// budget.
-func (b *Balancer) overBudget(s *session, srv *server) bool {
-	if b.warmth(srv) >= 1 {
+	return b.coldSettings.InitialShare +
+		(1-b.coldSettings.InitialShare)*float64(age)/float64(b.coldSettings.RampDuration)
+}
+
+// exceedsSlotQuota guards against overloading a cold server: it reports whether the session would exceed what this proxy
+// may send there now. All proxies together must send a cold server no more than a multiple of its present capacity within
+// any overload window, whatever arrives, and without messages between them. So the time since the server's start, which the
+// list tells all proxies alike, is divided into slots of one overload window. Each proxy has a position in a slot's order,
+// and only the first positions have a quota. A window overlaps two slots at most, whose quotas add up to what is allowed in
+// a window.
+func (b *Balancer) exceedsSlotQuota(s *session, srv *server) bool {
+	if b.capacityShare(srv) >= 1 {
 		return false
 	}
-	b.takeTurn(srv)
-	return srv.turn == 0 || b.now < b.coldHeld || srv.sent+b.weight(s) > srv.turn+1e-9
+	b.updateSlotQuota(srv)
+	return srv.slotQuota == 0 || b.now < b.coldBlockedUntil || srv.slotSent+b.relativeLoad(s) > srv.slotQuota+quotaTolerance
 }
 
-// frameAt is the number of a cold server's frame.
-func (b *Balancer) frameAt(srv *server, at time.Duration) int {
-	return int(max(at-srv.StartedAt, 0) / b.cold.OverloadWindow)
+// slotAt returns the number of a cold server's time slot at an instant, from 0.
+func (b *Balancer) slotAt(srv *server, instant time.Duration) int {
+	return int(max(instant-srv.StartedAt, 0) / b.coldSettings.OverloadWindow)
 }
 
-// takeTurn works out a cold server's turn, once in each frame. What it could do warm is not told: it is sure
-// that while it warms it can be filled with as many sessions as its size had on servers that were in time.
-// Listeners' loads differ: each pair of frames has turns for sessions of one listener's load or less, so that
-// light ones have more.
-func (b *Balancer) takeTurn(srv *server) {
-	frame := b.frameAt(srv, b.now)
-	if srv.frame == frame+1 {
+// updateSlotQuota works out this proxy's quota for a cold server, once in each slot. The capacity of the warm server is not
+// known; it is safe to assume that over its ramp it can be filled with as many sessions for its size as servers in time
+// have held. The quota is dealt in units of one session. Loads differ by listener, so each pair of slots takes the next
+// listener's usual load as the unit, and sessions of that load or less fit: light sessions have more slots than heavy ones.
+func (b *Balancer) updateSlotQuota(srv *server) {
+	slot := b.slotAt(srv, b.now)
+	if srv.quotaSlot == slot+1 {
 		return
 	}
-	srv.frame, srv.sent, srv.turn, srv.lift = frame+1, 0, 0, 0
-	warmth := b.cold.InitialShare + (1-b.cold.InitialShare)*float64(frame)*b.cold.OverloadWindow.Seconds()/b.cold.RampDuration.Seconds()
-	all := b.cold.OverloadMultiple * b.cold.OverloadWindow.Seconds() / b.cold.RampDuration.Seconds() * warmth *
-		max(b.calm, 1/fullLoad/b.sizes) * srv.able * float64(b.cold.ProxyCount)
-	if all < float64(b.cold.ProxyCount) { // few of many proxies have a session to place in their turns
-		all *= fullLoad / assumedLoad
-	}
-	each := b.usualWeight(b.terms[(frame/2)%len(b.terms)])
-	for _, t := range b.terms { // a small budget goes to light sessions, of which it holds more
-		if light := b.usualWeight(t); all < 2*each && light < each {
-			each = light
+	srv.quotaSlot, srv.slotSent, srv.slotQuota, srv.slotKeyShare = slot+1, 0, 0, 0
+	capacity := b.coldSettings.InitialShare +
+		(1-b.coldSettings.InitialShare)*float64(slot)*b.coldSettings.OverloadWindow.Seconds()/b.coldSettings.RampDuration.Seconds()
+	quota := b.coldSettings.OverloadMultiple * b.coldSettings.OverloadWindow.Seconds() / b.coldSettings.RampDuration.Seconds() *
+		capacity * max(b.sustainedDensity, 1/fullLoad/b.totalSize) * srv.effectiveSize * float64(b.coldSettings.ProxyCount)
+	if quota < float64(b.coldSettings.ProxyCount) { // few of many proxies have a session for their quota
+		quota *= fullLoad / assumedLoad
+	}
+	unit := b.listenerRelativeLoad(b.listeners[(slot/2)%len(b.listeners)])
+	for _, listener := range b.listeners { // a small quota is dealt to light sessions, as more of them fit
+		if load := b.listenerRelativeLoad(listener); quota < 2*unit && load < unit {
+			unit = load
 		}
 	}
-	turns := int(all / each)
-	if each <= 1 { // a part of a turn counts as one, but for sessions heavier than usual
-		turns = int(math.Ceil(all / each))
+	units := int(quota / unit)
+	if unit <= 1 { // a part of a unit counts as one, except where the unit is heavier than an average session
+		units = int(math.Ceil(quota / unit))
 	}
-	turns = (turns + 1 - frame%2) / 2
-	_, at := math.Modf(draw(0, srv.ID) + float64(frame)*(math.Phi-1))
-	place := (b.cold.ProxyIndex + int(at*float64(b.cold.ProxyCount))) % b.cold.ProxyCount
-	if turns > place {
-		srv.turn = each * float64((turns-place+b.cold.ProxyCount-1)/b.cold.ProxyCount)
-		srv.lift = min(b.part(srv)*warmth*float64(b.cold.ProxyCount)/float64(turns), 1)
+	units = (units + 1 - slot%2) / 2 // half for each of the two slots that a window overlaps
+	// Each slot begins at another position, moved on by the golden ratio, so that all proxies have their turn.
+	_, offset := math.Modf(keyHash(0, srv.ID) + float64(slot)*(math.Phi-1))
+	position := (b.coldSettings.ProxyIndex + int(offset*float64(b.coldSettings.ProxyCount))) % b.coldSettings.ProxyCount
+	if units > position {
+		srv.slotQuota = unit * float64((units-position+b.coldSettings.ProxyCount-1)/b.coldSettings.ProxyCount)
+		srv.slotKeyShare = min(b.fleetShare(srv)*capacity*float64(b.coldSettings.ProxyCount)/float64(units), 1)
 	}
 }
 
-// inTurn is the cold server that takes a new session because it is this proxy's turn there: of few turns
-// among many proxies, few would meet the keys that have it on top by its ramp, and it would stand idle. The
-// keys nearest to it go there, of all that come to proxies in turn about as many as the ramp would bring.
-func (b *Balancer) inTurn(s *session) *server {
+// pickColdServer returns a cold server for a session because this proxy has a quota there, or nil. It guards against cold
+// servers that stand idle: where few of many proxies have a quota, few of them would see a key for which the ramp puts the
+// cold server on top. So the proxies with a quota send it the keys of the highest hashes there, in all about as many as the
+// ramp would bring.
+func (b *Balancer) pickColdServer(s *session) *server {
 	var best *server
-	most := 0.0
-	for _, srv := range b.ramping {
-		g := draw(s.mark, srv.ID)
-		if b.overBudget(s, srv) || g <= 1-srv.lift || srv.base*g <= most {
+	bestScore := 0.0
+	for _, srv := range b.rampingServers {
+		hash := keyHash(s.placementKey, srv.ID)
+		if b.exceedsSlotQuota(s, srv) || hash <= 1-srv.slotKeyShare || srv.baseWeight*hash <= bestScore {
 			continue
 		}
-		if b.answering(s, srv) && !b.isFull(srv) && b.fits(s, srv) {
-			best, most = srv, srv.base*g
+		if b.eligibleTrusted(s, srv) && !b.isFull(srv) && b.hasRoom(s, srv) {
+			best, bestScore = srv, srv.baseWeight*hash
 		}
 	}
 	return best
 }
 
-// weight is a session's load in usual ones, by its listener's where loads are told, or its own if that is
-// more: the last word on a client's load may be of a moment in which it asked for nothing.
-func (b *Balancer) weight(s *session) float64 {
-	usual := b.usualWeight(s.terms)
-	if s.Load > 0 && b.noted > 0 {
-		return max(s.Load/b.usualLoad, usual)
+// relativeLoad returns a session's load in average sessions: its listener's average, or its own if that is more. Its own
+// alone could be far too low, as a client's last report may be of a moment in which it asked for nothing.
+func (b *Balancer) relativeLoad(s *session) float64 {
+	listenerLoad := b.listenerRelativeLoad(s.listenerSettings)
+	if s.Load > 0 && b.sessionLoadCount > 0 {
+		return max(s.Load/b.averageSessionLoad, listenerLoad)
 	}
-	return usual
+	return listenerLoad
 }
 
-func (b *Balancer) usualWeight(t *terms) float64 {
-	return cmp.Or(t.loads.value/b.usualLoad, 1)
+// listenerRelativeLoad returns the average load of a listener's sessions, in average sessions of all listeners; 1 without
+// reports.
+func (b *Balancer) listenerRelativeLoad(listener *listenerSettings) float64 {
+	return cmp.Or(listener.averageLoad.value/b.averageSessionLoad, 1)
 }
 
-// mean is that of the last few.
-type mean struct{ value, n float64 }
+// movingAverage is the mean of the values so far, and from sessionLoadsKept values on an exponential average. count is the
+// number of values, up to sessionLoadsKept.
+type movingAverage struct{ value, count float64 }
 
-func (m *mean) add(value float64) {
-	m.n = min(m.n+1, loadsKept)
-	m.value += (value - m.value) / m.n
+func (m *movingAverage) add(value float64) {
+	m.count = min(m.count+1, sessionLoadsKept)
+	m.value += (value - m.value) / m.count
 }
 
 // The list of servers.
 
-func (b *Balancer) ask() {
-	if !b.list.NeedsSubscription {
+// subscribe opens the subscription to the list, if the list needs one.
+func (b *Balancer) subscribe() {
+	if !b.listSettings.NeedsSubscription {
 		return
 	}
 	b.front.SubscribeList()
-	b.askIn(b.list.MaxPollInterval / 2) // guards against a call that is never answered
+	b.scheduleSubscribe(b.listSettings.MaxPollInterval / 2) // in case this call is never answered
 }
 
 // ResubscribeList subscribes to the list at once, as discovery has moved or a call was given up: earlier failures and their
 // backoff no longer count.
 func (b *Balancer) ResubscribeList(now time.Duration) {
-	b.now, b.askFails, b.watching = now, 0, false
-	b.ask()
+	b.now, b.subscribeFailures, b.subscribed = now, 0, false
+	b.subscribe()
 }
 
-// askIn sets when the list is asked for next. Only the timer set last counts: if those of earlier calls still
-// did, each failed call would leave two behind, and calls would double until discovery takes none.
-func (b *Balancer) askIn(after time.Duration) {
-	b.asks++
-	b.front.StartTimer(after, tokenAsk+b.asks)
+// scheduleSubscribe sets when to subscribe next if no subscription is open by then. Only the timer set last counts. If
+// earlier ones did too, each failed call would leave two timers behind, and calls would double until discovery accepts
+// none.
+func (b *Balancer) scheduleSubscribe(delay time.Duration) {
+	b.subscribeTimers++
+	b.front.StartTimer(delay, tokenSubscribe+b.subscribeTimers)
 }
 
-// ApplyList applies a list of servers, or a failed subscription, from discovery.
+// ApplyList applies a list of servers from discovery, or the failure of the subscription. After a failure it subscribes
+// again with exponential backoff and jitter.
 func (b *Balancer) ApplyList(now time.Duration, kind ListKind, entries []Entry) {
 	b.now = now
 	if kind == ListFailed {
-		b.watching = false
-		b.askFails++
-		b.say(&b.saidListAt, "list: the subscription failed, %d times in a row", b.askFails)
-		span := cmp.Or(b.list.MaxRetryBackoff, b.list.MaxPollInterval/4) / 8 << min(b.askFails, 3)
-		b.askIn(span + time.Duration(b.chance.Int63n(int64(span)+1)))
+		b.subscribed = false
+		b.subscribeFailures++
+		b.logLimited(&b.listFailureLoggedAt, "list: the subscription failed, %d times in a row", b.subscribeFailures)
+		backoff := cmp.Or(b.listSettings.MaxRetryBackoff, b.listSettings.MaxPollInterval/4) /
+			(1 << backoffDoublings) << min(b.subscribeFailures, backoffDoublings)
+		b.scheduleSubscribe(backoff + time.Duration(b.rng.Int63n(int64(backoff)+1)))
 		return
 	}
 	if kind != ListCached {
-		b.watching, b.askFails = true, 0
+		b.subscribed, b.subscribeFailures = true, 0
 	}
-	b.lists++
-	for _, e := range entries {
-		b.entry(e)
+	b.listCount++
+	for _, entry := range entries {
+		b.applyEntry(entry)
 	}
 	for _, srv := range b.servers {
-		if kind != ListDelta && srv.listed != b.lists {
+		if kind != ListDelta && srv.lastList != b.listCount {
 			srv.Status = Gone
 		}
 	}
-	b.listReady()
+	b.rebuildReady()
 }
 
-// listReady takes up all servers that may be dialed.
-func (b *Balancer) listReady() {
-	b.ready, b.lanes = b.ready[:0], b.lanes[:0]
+// rebuildReady collects the servers that may be dialed, and works out their weights.
+func (b *Balancer) rebuildReady() {
+	b.ready, b.scoring = b.ready[:0], b.scoring[:0]
 	for _, srv := range b.servers {
-		if b.usable(srv) {
+		if b.mayBeDialed(srv) {
 			b.ready = append(b.ready, srv)
-			b.lanes = append(b.lanes, lane{seed: mix(uint64(srv.ID) + 1)})
+			b.scoring = append(b.scoring, scoringRow{seed: mixBits(uint64(srv.ID) + 1)})
 		}
 	}
-	b.multipliers()
-	b.setWeights()
+	b.computeBaseWeights()
+	b.updateWeights()
 }
 
-func (b *Balancer) entry(e Entry) {
-	srv := b.byID[e.ID]
+// applyEntry takes over the entry of one server. A server that has restarted begins with nothing learnt, but for the mean
+// factor of the fleet.
+func (b *Balancer) applyEntry(entry Entry) {
+	srv := b.serverByID[entry.ID]
 	if srv == nil {
-		srv = &server{factor: b.meanFactor}
-		b.byID[e.ID] = srv
-		at, _ := slices.BinarySearchFunc(b.servers, e.ID, func(s *server, id ServerID) int {
+		srv = &server{adaptFactor: b.meanAdaptFactor}
+		b.serverByID[entry.ID] = srv
+		index, _ := slices.BinarySearchFunc(b.servers, entry.ID, func(s *server, id ServerID) int {
 			return cmp.Compare(s.ID, id)
 		})
-		b.servers = slices.Insert(b.servers, at, srv)
-	} else if e.Status == Ready && (srv.Status == Gone && !b.list.OnlyDrainsExclude ||
-		e.StartKnown && (!srv.StartKnown || e.StartedAt > srv.StartedAt)) { // restarted
-		srv.factor = b.meanFactor
-		srv.sampled, srv.missed, srv.errors, srv.avoidUntil = 0, 0, 0, 0
-		srv.frame, srv.full, srv.lateAt, srv.delayAt, srv.awayUntil = 0, 0, 0, 0, 0
+		b.servers = slices.Insert(b.servers, index, srv)
+	} else if entry.Status == Ready && (srv.Status == Gone && !b.listSettings.OnlyDrainsExclude ||
+		entry.StartKnown && (!srv.StartKnown || entry.StartedAt > srv.StartedAt)) { // restarted
+		srv.adaptFactor = b.meanAdaptFactor
+		srv.sampleCount, srv.unansweredDials, srv.failedDials, srv.avoidUntil = 0, 0, 0, 0
+		srv.quotaSlot, srv.loadLimit, srv.lateAt, srv.delayReportedAt, srv.drainNoticeUntil = 0, 0, 0, 0, 0
 	}
 	switch {
-	case e.Status == Draining:
-		srv.drained, srv.drainOf = true, time.Duration(math.MinInt64) // a start long ago
-		if e.StartKnown {
-			srv.drainOf = e.StartedAt
+	case entry.Status == Draining:
+		srv.drainListed, srv.drainedStart = true, time.Duration(math.MinInt64) // without a start, any known one is later
+		if entry.StartKnown {
+			srv.drainedStart = entry.StartedAt
 		}
-	case srv.drained && e.StartKnown && e.StartedAt > srv.drainOf:
-		srv.drained = false
-	case srv.drained && e.Status == Ready: // an older list may come again
-		e.Status = Draining
+	case srv.drainListed && entry.StartKnown && entry.StartedAt > srv.drainedStart:
+		srv.drainListed = false
+	case srv.drainListed && entry.Status == Ready: // an older list may be delivered again
+		entry.Status = Draining
 	}
-	if srv.StartKnown && e.StartedAt < srv.StartedAt {
-		e.StartKnown, e.StartedAt = true, srv.StartedAt // the same
+	if srv.StartKnown && entry.StartedAt < srv.StartedAt {
+		entry.StartKnown, entry.StartedAt = true, srv.StartedAt // an older list, or one without the start: the process is the same
 	}
-	srv.Entry, srv.listed = e, b.lists
-	srv.Size = cmp.Or(max(e.Size, 0), 1) // 0 if not told
-	at := slices.IndexFunc(b.models, func(m *model) bool { return m.id == e.Model })
-	if at < 0 {
-		at = len(b.models)
-		b.models = append(b.models, &model{id: e.Model, speed: 1})
+	srv.Entry, srv.lastList = entry, b.listCount
+	srv.Size = cmp.Or(max(entry.Size, 0), 1) // 0 if the list does not say
+	index := slices.IndexFunc(b.models, func(m *model) bool { return m.id == entry.Model })
+	if index < 0 {
+		index = len(b.models)
+		b.models = append(b.models, &model{id: entry.Model, speed: 1})
 	}
-	srv.model = b.models[at]
+	srv.model = b.models[index]
 }
 
-// usable tells whether the list lets a server be dialed. Where drains alone bind, a list that calls servers
-// gone proves nothing: one that was named stays in, and what dials to it show counts.
-func (b *Balancer) usable(srv *server) bool {
-	return srv.Status == Ready || b.list.OnlyDrainsExclude && srv.Status == Gone && !srv.drained
+// mayBeDialed reports whether the list lets a server be dialed. With OnlyDrainsExclude a list that shows servers as gone
+// proves nothing: a server that was once listed stays, and the outcomes of dials to it decide.
+func (b *Balancer) mayBeDialed(srv *server) bool {
+	return srv.Status == Ready || b.listSettings.OnlyDrainsExclude && srv.Status == Gone && !srv.drainListed
 }
 
-// say logs a line, the same subject no more than once in the span of a cold start.
-func (b *Balancer) say(last *time.Duration, format string, args ...any) {
-	if *last == 0 || b.now-*last >= b.cold.RampDuration {
-		*last = b.now + 1
+// logLimited logs a line, at most one about the same subject within a RampDuration. loggedAt is when the last one was
+// logged, 0 if never; it is updated.
+func (b *Balancer) logLimited(loggedAt *time.Duration, format string, args ...any) {
+	if *loggedAt == 0 || b.now-*loggedAt >= b.coldSettings.RampDuration {
+		*loggedAt = b.now + 1 // not 0 even if now is
 		b.front.Log(fmt.Sprintf(format, args...))
 	}
 }
 
 // Sessions.
 
-// enter is the one place where a session changes its state.
-func (b *Balancer) enter(s *session, next state, srv *server) {
-	if !slices.Contains(mayEnter[s.state], next) {
-		panic(fmt.Sprintf("session %d goes from state %d to %d", s.ID, s.state, next))
+// setState is the only place where a session changes its state. It keeps the lists and loads of servers up to date. It
+// panics on a transition that is not valid.
+func (b *Balancer) setState(s *session, newState sessionState, srv *server) {
+	if !slices.Contains(validTransitions[s.state], newState) {
+		panic(fmt.Sprintf("session %d: invalid transition from state %d to state %d", s.ID, s.state, newState))
 	}
-	if was := s.place(); was != nil {
-		b.weigh(s, 0)
-		if b.groups[s.Group]--; b.groups[s.Group] == 0 {
-			delete(b.groups, s.Group)
+	if oldList := s.serverList(); oldList != nil {
+		b.countLoad(s, 0)
+		if b.groupSessions[s.Group]--; b.groupSessions[s.Group] == 0 {
+			delete(b.groupSessions, s.Group)
 		}
-		last := len(*was) - 1
-		(*was)[s.slot] = (*was)[last]
-		(*was)[s.slot].slot = s.slot
-		*was = (*was)[:last]
-	}
-	s.state, s.server = next, srv
-	if is := s.place(); is != nil {
-		b.weigh(s, b.usual(s))
-		b.groups[s.Group]++
-		s.slot = len(*is)
-		*is = append(*is, s)
-	}
-	if next == over {
+		last := len(*oldList) - 1
+		(*oldList)[s.listIndex] = (*oldList)[last]
+		(*oldList)[s.listIndex].listIndex = s.listIndex
+		*oldList = (*oldList)[:last]
+	}
+	s.state, s.server = newState, srv
+	if newList := s.serverList(); newList != nil {
+		b.countLoad(s, b.expectedLoad(s))
+		b.groupSessions[s.Group]++
+		s.listIndex = len(*newList)
+		*newList = append(*newList, s)
+	}
+	if newState == stateEnded {
 		delete(b.sessions, s.ID)
 	}
 }
 
-// weigh counts a session's load in.
-func (b *Balancer) weigh(s *session, load float64) {
-	s.server.carried += load - s.weighed
-	b.carried += load - s.weighed
-	s.weighed = load
+// countLoad counts a session's load, in cores, in place of what was counted for it before.
+func (b *Balancer) countLoad(s *session, load float64) {
+	s.server.carriedLoad += load - s.countedLoad
+	b.carriedLoad += load - s.countedLoad
+	s.countedLoad = load
 }
 
-// usual is a session's load, or the mean of those noted last where its own is not told.
-func (b *Balancer) usual(s *session) float64 {
+// expectedLoad returns a session's load in cores, or the average of all sessions if its own is not known.
+func (b *Balancer) expectedLoad(s *session) float64 {
 	if s.Load > 0 {
 		return s.Load
 	}
-	return b.usualLoad
+	return b.averageSessionLoad
 }
 
-// place is the server's list in which the session stands in its present state.
-func (s *session) place() *[]*session {
+// serverList returns the list of its server that holds the session in its present state, or nil.
+func (s *session) serverList() *[]*session {
 	switch {
-	case s.state == dialing || s.state == left && s.dialedAt >= 0:
+	case s.state == stateDialing || s.state == stateClientGone && s.dialedAt >= 0:
 		return &s.server.dialing
-	case s.state == open:
+	case s.state == stateOpen:
 		return &s.server.held
 	}
 	return nil
 }
 
-// PlaceSession takes a new session and dials a server for it, or gives its final answer. The error is a fault of the caller.
-func (b *Balancer) PlaceSession(now time.Duration, a Arrival) error {
-	s, err := b.admit(now, a)
+// PlaceSession takes a new session and dials a server for it, or gives its final answer. The error is a fault of the
+// caller.
+func (b *Balancer) PlaceSession(now time.Duration, arrival Arrival) error {
+	s, err := b.addSession(now, arrival)
 	if err != nil {
 		return err
 	}
-	if b.budget.Window > 0 { // those held from before are not taken anew
-		b.taken.add(now, now-b.budget.Window)
+	if b.retryBudget.Window > 0 { // adopted sessions do not count as arrivals
+		b.arrivalTimes.add(now, now-b.retryBudget.Window)
 	}
-	b.place(s)
+	b.dialNext(s)
 	return nil
 }
 
-// AdoptSession takes a session that is already open at a server, such as one that another proxy opened. The error is a fault
-// of the caller.
-func (b *Balancer) AdoptSession(now time.Duration, a Arrival, at ServerID) error {
-	srv := b.byID[at]
+// AdoptSession takes a session that is already open at a server, such as one that another proxy opened. The error is a
+// fault of the caller.
+func (b *Balancer) AdoptSession(now time.Duration, arrival Arrival, holder ServerID) error {
+	srv := b.serverByID[holder]
 	if srv == nil {
-		return fmt.Errorf("session %d is held by server %d, which no list has named", a.ID, at)
+		return fmt.Errorf("session %d is held by server %d, which no list has named", arrival.ID, holder)
 	}
-	s, err := b.admit(now, a)
+	s, err := b.addSession(now, arrival)
 	if err != nil {
 		return err
 	}
-	s.dials, s.mayRun = 1, true
-	b.enter(s, open, srv)
+	s.dials, s.mayHaveRun = 1, true
+	b.setState(s, stateOpen, srv)
 	return nil
 }
 
-func (b *Balancer) admit(now time.Duration, a Arrival) (*session, error) {
+// addSession makes a session that is pending. The error is a fault of the caller.
+func (b *Balancer) addSession(now time.Duration, arrival Arrival) (*session, error) {
 	b.now = now
-	under := a.Settings.terms
-	if under == nil {
-		if int(a.Listener) >= len(b.terms) {
-			return nil, fmt.Errorf("session %d names listener %d of %d", a.ID, a.Listener, len(b.terms))
+	settings := arrival.Settings.listener
+	if settings == nil {
+		if int(arrival.Listener) >= len(b.listeners) {
+			return nil, fmt.Errorf("session %d: listener %d does not exist, there are %d",
+				arrival.ID, arrival.Listener, len(b.listeners))
 		}
-		under = b.terms[a.Listener]
+		settings = b.listeners[arrival.Listener]
 	}
-	if b.sessions[a.ID] != nil {
-		return nil, fmt.Errorf("session %d comes twice", a.ID)
+	if b.sessions[arrival.ID] != nil {
+		return nil, fmt.Errorf("session %d comes twice", arrival.ID)
 	}
-	if a.Load == 0 {
-		a.Load = b.loadOf[a.Client]
+	if arrival.Load == 0 {
+		arrival.Load = b.clientLoads[arrival.Client]
 	}
-	if !a.Reconnected {
-		b.arrivals++
+	if !arrival.Reconnected {
+		b.newSessions++
 	}
-	s := &session{Arrival: a, terms: under, deadline: now + a.TimeLeft}
-	s.mark = cmp.Or(a.Group, a.Client, Key(a.ID))
-	if a.Group != 0 {
-		s.mark = b.partOf(a.Group, cmp.Or(a.Client, Key(a.ID)))
+	s := &session{Arrival: arrival, listenerSettings: settings, deadline: now + arrival.TimeLeft}
+	s.placementKey = cmp.Or(arrival.Group, arrival.Client, Key(arrival.ID))
+	if arrival.Group != 0 {
+		s.placementKey = b.splitGroup(arrival.Group, cmp.Or(arrival.Client, Key(arrival.ID)))
 	}
-	b.sessions[a.ID] = s
+	b.sessions[arrival.ID] = s
 	return s, nil
 }
 
-// partOf parts a group by its clients where proxies are several times the servers and each hears of few, of
-// one for each session at most and two more: it can't see which groups are large, all would send a group to
-// its one server however much it is, and few hear that the server is late. The first part is the group's own,
-// the other has an order of servers of its own. Harm: each server that holds any of a group pays for it.
-func (b *Balancer) partOf(group, client Key) Key {
-	if b.cold.ProxyCount < someProxies*len(b.ready) || (len(b.sessions)+2)*heardOf > len(b.ready) {
+// splitGroup returns the key by which a session of a group is placed: the group's, or where a group is split by its
+// clients, the key of the client's part. Groups are split where proxies are several times the servers and each observes few
+// of them, one for each of its sessions at most (two are added). Such a proxy can't see which groups are large, all proxies
+// would send a group to its one server however large it is, and few would learn that this server is late. The first part
+// has the group's own key, the other another order of servers. The price is that each server that holds sessions of a group
+// has the group's cost.
+func (b *Balancer) splitGroup(group, client Key) Key {
+	if b.coldSettings.ProxyCount < splitProxiesPerServer*len(b.ready) ||
+		(len(b.sessions)+2)*splitServersPerSession > len(b.ready) {
 		return group
 	}
-	if part := int(unit(mix(uint64(client)), mix(uint64(group))) * parts); part > 0 {
-		return Key(mix(uint64(group) + uint64(part)))
+	if part := int(combineHashes(mixBits(uint64(client)), mixBits(uint64(group))) * groupParts); part > 0 {
+		return Key(mixBits(uint64(group) + uint64(part)))
 	}
 	return group
 }
 
-// place dials the best server for a session, or gives the session up.
-func (b *Balancer) place(s *session) {
-	wait := s.deadline - b.now
-	if s.dials >= s.MaxDials || wait < s.HandshakeTarget/16 || !b.mayRerun(s) || b.spare(s) ||
-		s.dials > 0 && !b.affords() {
+// dialNext dials the best server for a session, or gives the session up.
+func (b *Balancer) dialNext(s *session) {
+	timeout := s.deadline - b.now
+	if s.dials >= s.MaxDials || timeout < s.HandshakeTarget/minDialDivisor || !b.mayDialAgain(s) || b.shouldShed(s) ||
+		s.dials > 0 && !b.hasRetryBudget() {
 		b.giveUp(s)
 		return
 	}
 	var srv *server
 	if s.MidFlow && s.dials == 0 {
-		srv = b.pick(s, (*Balancer).holding) // only its holder can go on with it
+		// The holder, which alone can continue the session, is most likely the top score. Its load does not matter.
+		srv = b.pick(s, (*Balancer).eligibleHolder)
 	}
 	if srv == nil {
-		srv = b.inTurn(s)
+		srv = b.pickColdServer(s)
 	}
 	if srv == nil {
-		srv = b.next(s)
+		srv = b.selectServer(s)
 	}
-	if srv == nil && !slices.ContainsFunc(b.ready, b.trusted) {
-		// With no server left to trust, the fault may be this proxy's.
-		srv = b.pick(s, (*Balancer).lastResort)
+	if srv == nil && !slices.ContainsFunc(b.ready, b.isTrusted) {
+		// With no server that has answered, the fault may be this proxy's.
+		srv = b.pick(s, (*Balancer).eligibleLastResort)
 	}
 	if srv == nil {
-		b.say(&b.saidAt, "no server has room, refusing; %d ready", len(b.ready))
+		b.logLimited(&b.refusalLoggedAt, "no server has room, refusing; %d ready", len(b.ready))
 		b.giveUp(s)
 		return
 	}
-	if s.Idempotency == Idempotent && b.affords() { // one that no other can follow gets all the time
-		wait = max(wait/time.Duration(s.MaxDials-s.dials), min(wait, s.HandshakeTarget/2))
+	if s.Idempotency == Idempotent && b.hasRetryBudget() { // a dial that can't be retried gets all the time that is left
+		timeout = max(timeout/time.Duration(s.MaxDials-s.dials), min(timeout, s.HandshakeTarget/dialTimeDivisor))
 	}
-	if b.warmth(srv) < 1 {
-		srv.sent += b.weight(s)
+	if b.capacityShare(srv) < 1 {
+		srv.slotSent += b.relativeLoad(s)
 	}
-	if s.dials > 0 && b.budget.Window > 0 {
-		b.further.add(b.now, b.now-b.budget.Window)
+	if s.dials > 0 && b.retryBudget.Window > 0 {
+		b.retryTimes.add(b.now, b.now-b.retryBudget.Window)
 	}
-	s.tried[s.dials%len(s.tried)] = srv
+	s.triedServers[s.dials%len(s.triedServers)] = srv
 	s.dials++
 	s.dialedAt = b.now
-	b.enter(s, dialing, srv)
-	b.front.Dial(s.ID, srv.ID, wait)
-}
-
-// next takes the top score, or one of the next few that has room where the top has none: a hot group would
-// fill its server while others idle. Each server that holds any of a group pays for it, so a group goes no
-// deeper.
-func (b *Balancer) next(s *session) *server {
-	var able *server
-	for _, c := range b.best(s, b.depth(s), (*Balancer).answering) {
-		switch srv := c.server; {
-		case b.overBudget(s, srv):
-		case b.isFull(srv) || !b.fits(s, srv):
-		case s.Reconnected && s.state != open && len(srv.held) == 0 && b.chance.Float64() < b.lateShare():
-		case b.loaded(srv, s.Load) <= b.limit:
+	b.setState(s, stateDialing, srv)
+	b.front.Dial(s.ID, srv.ID, timeout)
+}
+
+// selectServer returns the server with the highest score, or if that has no room one of the next few that does, or nil.
+// Otherwise a hot group would fill its server while others stand idle. Each server that holds sessions of a group has the
+// group's cost, so no more than candidateCount servers are considered. A client that reconnects, probably moved off a late
+// server, passes a server that this proxy does not observe as often as observed ones are late: otherwise such clients would
+// all go to the few servers that nobody has seen late yet, and make them late.
+func (b *Balancer) selectServer(s *session) *server {
+	var fallback *server
+	for _, candidate := range b.topScores(s, b.candidateCount(s), (*Balancer).eligibleTrusted) {
+		switch srv := candidate.server; {
+		case b.exceedsSlotQuota(s, srv):
+		case b.isFull(srv) || !b.hasRoom(s, srv):
+		case s.Reconnected && s.state != stateOpen && len(srv.held) == 0 && b.rng.Float64() < b.lateShare():
+		case b.estimatedLoad(srv, s.Load) <= b.loadThreshold:
 			return srv
-		case able == nil || s.Load > 0 && b.loaded(srv, s.Load) < b.loaded(able, s.Load):
-			able = srv
+		case fallback == nil || s.Load > 0 && b.estimatedLoad(srv, s.Load) < b.estimatedLoad(fallback, s.Load):
+			fallback = srv
 		}
 	}
-	return able
+	return fallback
 }
 
-// lateShare is the share of late servers among those it hears of, as only its sessions bring word.
+// lateShare returns the share of late servers among those that this proxy observes, which are those with sessions of its
+// own.
 func (b *Balancer) lateShare() float64 {
-	if b.now-b.lateShareAt > noteSpan/4 {
-		late, heard := 0.0, 2.0 // in time, and two more, so that one of few tells little
+	if b.now-b.lateShareComputedAt > lateShareLifetime {
+		lateServers, timelyServers := 0.0, lateSharePrior
 		for _, srv := range b.ready {
 			if b.isFull(srv) {
-				late++
+				lateServers++
 			} else if len(srv.held) > 0 {
-				heard++
+				timelyServers++
 			}
 		}
-		b.lateOfHeard, b.lateShareAt = late/(late+heard), b.now
+		b.cachedLateShare, b.lateShareComputedAt = lateServers/(lateServers+timelyServers), b.now
 	}
-	return b.lateOfHeard
+	return b.cachedLateShare
 }
 
-// depth is how many of its best scores a session may go down: as its group's part of the sessions demands. Of
-// a few sessions one of its group tells little, so as many others as there are servers are added. Where
-// many servers are late it goes less deep: each one more that holds of the group makes the overload worse.
-func (b *Balancer) depth(s *session) int {
+// candidateCount returns how many servers of the highest scores a session may go to: as many as its group's share of this
+// proxy's sessions demands. Of few sessions, one of the group says little, so as many others as there are servers are
+// added. The more servers are late, the fewer: each further server that holds sessions of the group makes the overload
+// worse.
+func (b *Balancer) candidateCount(s *session) int {
 	if s.Group == 0 {
-		return mostDepth
+		return maxCandidates
 	}
-	fills := float64(len(b.ready)*b.groups[s.Group]) / float64(len(b.sessions)+len(b.ready))
-	return leastDepth + int(math.Ceil(spread*fills*(1-b.lateShare())))
+	filledServers := float64(len(b.ready)*b.groupSessions[s.Group]) / float64(len(b.sessions)+len(b.ready))
+	return minGroupCandidates + int(math.Ceil(groupCandidatesPerServer*filledServers*(1-b.lateShare())))
 }
 
-// allowed holds the rules that no exception may break.
-func (b *Balancer) allowed(s *session, srv *server) bool {
-	return !s.mayRun || s.Idempotency != IdempotencyKeyed || (s.terms.DedupScope != DedupZone || srv.Zone == s.first.Zone) &&
-		(s.terms.DedupScope != DedupCell || srv.Cell == s.first.Cell)
+// inDedupScope reports whether the server may get the session again: one that may have run, and relies on servers to drop
+// repeats, must stay with the zone or cell of its first server. This holds for every dial, whatever exception leads to it.
+func (b *Balancer) inDedupScope(s *session, srv *server) bool {
+	return !s.mayHaveRun || s.Idempotency != IdempotencyKeyed ||
+		(s.listenerSettings.DedupScope != DedupZone || srv.Zone == s.firstServer.Zone) &&
+			(s.listenerSettings.DedupScope != DedupCell || srv.Cell == s.firstServer.Cell)
 }
 
-func (b *Balancer) untried(s *session, srv *server) bool {
-	return !slices.Contains(s.tried[:min(s.dials, len(s.tried))], srv) && b.allowed(s, srv)
+// eligibleUntried lets servers pass that the session has not dialed yet.
+func (b *Balancer) eligibleUntried(s *session, srv *server) bool {
+	return !slices.Contains(s.triedServers[:min(s.dials, len(s.triedServers))], srv) && b.inDedupScope(s, srv)
 }
 
-// answering leaves out servers that have not answered, for a while.
-func (b *Balancer) answering(s *session, srv *server) bool {
-	if s.state == open { // its client would come as a new session
-		return srv != s.server && b.trusted(srv)
+// eligibleTrusted lets servers pass that answer, as far as is known. For an open session, which is to be moved, these are
+// all but its own.
+func (b *Balancer) eligibleTrusted(s *session, srv *server) bool {
+	if s.state == stateOpen { // its client would come back as a new session, with no server tried
+		return srv != s.server && b.isTrusted(srv)
 	}
-	return b.trusted(srv) && b.untried(s, srv)
+	return b.isTrusted(srv) && b.eligibleUntried(s, srv)
 }
 
-func (b *Balancer) lastResort(s *session, srv *server) bool {
-	return !b.isFull(srv) && b.untried(s, srv) && !b.overBudget(s, srv)
+// eligibleLastResort lets servers pass that have not answered, if nothing else speaks against them.
+func (b *Balancer) eligibleLastResort(s *session, srv *server) bool {
+	return !b.isFull(srv) && b.eligibleUntried(s, srv) && !b.exceedsSlotQuota(s, srv)
 }
 
-func (b *Balancer) holding(s *session, srv *server) bool {
-	return b.allowed(s, srv) && !b.overBudget(s, srv)
+// eligibleHolder lets all servers pass that may hold a mid-flow session, full ones too.
+func (b *Balancer) eligibleHolder(s *session, srv *server) bool {
+	return b.inDedupScope(s, srv) && !b.exceedsSlotQuota(s, srv)
 }
 
-// fits tells whether a session's load would stay within what the server was learnt to carry.
-func (b *Balancer) fits(s *session, srv *server) bool {
-	return srv.full == 0 || srv.carried == 0 || srv.carried+b.usual(s) <= srv.full
+// hasRoom reports whether the server would stay within its load limit with the session. One without sessions of this proxy
+// always has room.
+func (b *Balancer) hasRoom(s *session, srv *server) bool {
+	return srv.loadLimit == 0 || srv.carriedLoad == 0 || srv.carriedLoad+b.expectedLoad(s) <= srv.loadLimit
 }
 
-// isFull keeps sessions from servers that would serve none of theirs in time with more. A proxy without a
-// session at a late server hears nothing of it; if all of many tried it again each few seconds they would
-// keep it late, so it rests for longer the less of it is this proxy's.
+// isFull reports whether a server would serve none of its sessions in time if it had more. A proxy that holds no session at
+// a late server observes nothing of it. If many such proxies all tried it again every few seconds, they would keep it late.
+// So a proxy pauses for longer, the smaller its own fair number of sessions there is.
 func (b *Balancer) isFull(srv *server) bool {
-	rest := noteSpan
+	pause := delayReportInterval
 	if len(srv.held) == 0 {
-		fair := b.part(srv) * float64(max(len(b.sessions), 1))
-		rest = min(time.Duration(triesRest*float64(noteSpan)/fair), mostRest)
+		fairSessions := b.fleetShare(srv) * float64(max(len(b.sessions), 1))
+		pause = min(time.Duration(lateRetryIntervals*float64(delayReportInterval)/fairSessions), maxLateRetryPause)
 	}
-	return srv.lateAt > 0 && b.now-srv.lateAt < rest || b.known(srv) >= fullLoad
+	return srv.lateAt > 0 && b.now-srv.lateAt < pause || b.observedLoad(srv) >= fullLoad
 }
 
-// trusted is false for a while after a dial went unanswered, and then for all but one dial at a time until
-// one is answered: a hung server stays in the list.
-func (b *Balancer) trusted(srv *server) bool {
-	return b.now >= max(srv.avoidUntil, srv.awayUntil) && (srv.missed == 0 || len(srv.dialing) == 0)
+// isTrusted reports whether a server is expected to answer. It is false for a while after a dial went unanswered, and from
+// then on for all but one dial at a time until one is answered. It guards against a hung server, which stays in the list.
+// It is false for a while after a drain notice, too.
+func (b *Balancer) isTrusted(srv *server) bool {
+	return b.now >= max(srv.avoidUntil, srv.drainNoticeUntil) && (srv.unansweredDials == 0 || len(srv.dialing) == 0)
 }
 
-// spare guards against dials that together keep down what all servers need to open a session: where more than
-// two in three that were sent lately failed or had no answer, whatever the server, some are given up, so that
-// about three go out for each that opens. A few bad servers alone never come to that.
-func (b *Balancer) spare(s *session) bool {
-	return !s.MidFlow && b.failed > 2*b.opened && b.chance.Float64() < (b.failed-2*b.opened)/(b.failed+1)
+// shouldShed guards against dials that keep down something that all servers need to open a session, such as a shared store.
+// If more than two in three recent dials failed or timed out, whatever the server, some dials are given up by chance, so
+// that about three go out for each that opens. A few bad servers alone never cause that.
+func (b *Balancer) shouldShed(s *session) bool {
+	return !s.MidFlow && b.recentFailed > shedRatio*b.recentOpened &&
+		b.rng.Float64() < (b.recentFailed-shedRatio*b.recentOpened)/(b.recentFailed+1)
 }
 
-// affords tells whether the budget of dials beyond each session's first has one left: in the window that ends
-// now, and a little longer for dials and shorter for sessions, as others' clocks may cut it elsewhere.
-func (b *Balancer) affords() bool {
-	window, edge := b.budget.Window, b.budget.Window/windowEdge
+// hasRetryBudget reports whether the retry budget of the window that ends now allows one more dial. The window is taken a
+// little longer for retries and a little shorter for arrivals, as whoever checks the budget may have a slightly different
+// clock.
+func (b *Balancer) hasRetryBudget() bool {
+	window, slack := b.retryBudget.Window, b.retryBudget.Window/windowSlackDivisor
 	if window == 0 {
 		return true
 	}
-	most := b.budget.FreeRetries + b.budget.RetriesPerSession*float64(b.taken.since(b.now-window+edge))
-	return b.now >= b.furtherHeld && float64(b.further.since(b.now-window-edge)+1) <= most
+	allowed := b.retryBudget.FreeRetries +
+		b.retryBudget.RetriesPerSession*float64(b.arrivalTimes.countSince(b.now-window+slack))
+	return b.now >= b.retriesBlockedUntil && float64(b.retryTimes.countSince(b.now-window-slack)+1) <= allowed
 }
 
-// ring has times in their order, as many as there are in a window.
-type ring struct {
-	at       []time.Duration
-	first, n int
+// timeRing holds the times of events within a window, in order. It grows as needed.
+type timeRing struct {
+	times        []time.Duration
+	first, count int // index of the first time, and how many there are
 }
 
-// add takes a time in and forgets those well before since.
-func (r *ring) add(at, since time.Duration) {
-	for r.n > 0 && r.at[r.first] < since-(at-since)/windowEdge {
-		r.first, r.n = (r.first+1)%len(r.at), r.n-1
+// add appends an instant and drops those before windowStart by more than the slack for other clocks.
+func (r *timeRing) add(instant, windowStart time.Duration) {
+	for r.count > 0 && r.times[r.first] < windowStart-(instant-windowStart)/windowSlackDivisor {
+		r.first, r.count = (r.first+1)%len(r.times), r.count-1
 	}
-	if r.n == len(r.at) {
-		grown := make([]time.Duration, max(2*r.n, samplesKept))
-		copy(grown[copy(grown, r.at[r.first:]):], r.at[:r.first])
-		r.at, r.first = grown, 0
+	if r.count == len(r.times) {
+		grown := make([]time.Duration, max(2*r.count, minRingCapacity))
+		copy(grown[copy(grown, r.times[r.first:]):], r.times[:r.first])
+		r.times, r.first = grown, 0
 	}
-	r.at[(r.first+r.n)%len(r.at)] = at
-	r.n++
+	r.times[(r.first+r.count)%len(r.times)] = instant
+	r.count++
 }
 
-// since is how many times there are from then on.
-func (r *ring) since(then time.Duration) int {
-	return r.n - sort.Search(r.n, func(i int) bool { return r.at[(r.first+i)%len(r.at)] >= then })
+// countSince returns how many times are at start or later.
+func (r *timeRing) countSince(start time.Duration) int {
+	return r.count - sort.Search(r.count, func(i int) bool { return r.times[(r.first+i)%len(r.times)] >= start })
 }
 
-// mayRerun tells whether another dial may go out after those that may have run.
-func (b *Balancer) mayRerun(s *session) bool {
-	return !s.mayRun || s.Idempotency == Idempotent || s.Idempotency == IdempotencyKeyed && b.now-s.firstAt < s.DedupWindow
+// mayDialAgain reports whether a session may be dialed again after dials that may have run it.
+func (b *Balancer) mayDialAgain(s *session) bool {
+	return !s.mayHaveRun || s.Idempotency == Idempotent ||
+		s.Idempotency == IdempotencyKeyed && b.now-s.firstDialAt < s.DedupWindow
 }
 
-// giveUp answers at once what no server will take.
+// giveUp ends a session with its final answer, at once. Refuse promises that the session did no harm and can be tried
+// again, so a session that may have run is aborted, unless it is idempotent or every server drops its repeats. The advised
+// pause is one to two handshake targets, by chance, so that clients don't all come back at once.
 func (b *Balancer) giveUp(s *session) {
-	b.enter(s, over, nil)
-	if s.mayRun && (s.Idempotency == NonIdempotent || s.Idempotency == IdempotencyKeyed && s.terms.DedupScope != DedupAll) {
+	b.setState(s, stateEnded, nil)
+	if s.mayHaveRun && (s.Idempotency == NonIdempotent ||
+		s.Idempotency == IdempotencyKeyed && s.listenerSettings.DedupScope != DedupAll) {
 		b.front.Abort(s.ID)
 		return
 	}
-	comeBack := time.Duration(float64(s.HandshakeTarget) * (1 + b.chance.Float64()))
-	b.front.Refuse(s.ID, min(comeBack, s.MaxRetryAfter))
+	retryAfter := time.Duration(float64(s.HandshakeTarget) * (1 + b.rng.Float64()))
+	b.front.Refuse(s.ID, min(retryAfter, s.MaxRetryAfter))
 }
 
-// MaySend reports whether the first line of the session's dial may be sent, now that its connection is established. It guards
-// against connections that take long: what the dial was placed by may have passed meanwhile, the window for
-// repeats or this proxy's turn at a cold server, and the budget's window has to count it from now on.
+// MaySend reports whether the first line of the session's dial may be sent, now that its connection is established. It
+// guards against connections that take long: the window for repeats, or the slot of a cold server that the dial was counted
+// in, may have passed. If a retry's connection took longer than the slack of the retry budget's window, the retry is
+// counted again now.
 func (b *Balancer) MaySend(now time.Duration, id SessionID) bool {
 	b.now = now
 	s := b.sessions[id]
-	if s == nil || s.state != dialing {
+	if s == nil || s.state != stateDialing {
 		return true
 	}
-	if !b.mayRerun(s) {
+	if !b.mayDialAgain(s) {
 		return false
 	}
 	srv := s.server
-	if b.warmth(srv) < 1 && b.frameAt(srv, s.dialedAt) != b.frameAt(srv, now) {
-		if b.overBudget(s, srv) {
+	if b.capacityShare(srv) < 1 && b.slotAt(srv, s.dialedAt) != b.slotAt(srv, now) {
+		if b.exceedsSlotQuota(s, srv) {
 			return false
 		}
-		srv.sent += b.weight(s)
+		srv.slotSent += b.relativeLoad(s)
 	}
-	if s.dials > 1 && b.budget.Window > 0 && now-s.dialedAt > b.budget.Window/windowEdge {
-		b.further.add(now, now-b.budget.Window)
+	if s.dials > 1 && b.retryBudget.Window > 0 && now-s.dialedAt > b.retryBudget.Window/windowSlackDivisor {
+		b.retryTimes.add(now, now-b.retryBudget.Window)
 	}
 	return true
 }
 
-// HandleOpened records that a dial's server has accepted the session.
-func (b *Balancer) HandleOpened(now time.Duration, id SessionID, _ ServerID, no DialNumber, _ time.Duration) {
+// HandleOpened records that a dial's server has accepted the session. A call for an earlier dial is ignored.
+func (b *Balancer) HandleOpened(now time.Duration, id SessionID, _ ServerID, dial DialNumber, _ time.Duration) {
 	b.now = now
 	s := b.sessions[id]
-	if s == nil || s.state != dialing || int(no) != s.dials-1 {
+	if s == nil || s.state != stateDialing || int(dial) != s.dials-1 {
 		return
 	}
-	s.mayRun = true
-	s.server.missed, s.server.errors, s.server.avoidUntil = 0, 0, 0
-	b.opened++
-	b.enter(s, open, s.server)
+	s.mayHaveRun = true
+	s.server.unansweredDials, s.server.failedDials, s.server.avoidUntil = 0, 0, 0
+	b.recentOpened++
+	b.setState(s, stateOpen, s.server)
 }
 
-// HandleDialEnd records how a dial ended. With isOver, or after the session was opened, the session ends too; otherwise the
-// next dial goes out or the session gets its final answer.
-func (b *Balancer) HandleDialEnd(now time.Duration, id SessionID, no DialNumber, at ServerID, outcome Outcome,
-	_ time.Duration, isOver bool) {
+// HandleDialEnd records how a dial ended. With sessionEnded, or once the session was opened or its client has gone, the
+// session ends too. Otherwise the next dial goes out, or the session gets its final answer. A call for an earlier dial is
+// ignored.
+func (b *Balancer) HandleDialEnd(now time.Duration, id SessionID, dial DialNumber, serverID ServerID, outcome Outcome,
+	_ time.Duration, sessionEnded bool) {
 	b.now = now
-	srv := b.byID[at]
+	srv := b.serverByID[serverID]
 	s := b.sessions[id]
-	if s == nil || srv == nil || int(no) != s.dials-1 {
+	if s == nil || srv == nil || int(dial) != s.dials-1 {
 		return
 	}
-	was := s.state
+	previous := s.state
 	if outcome == ConnectionLost {
-		b.dropped(srv)
+		b.recordDrop(srv)
 	}
-	if isOver || was != dialing {
-		if was == dialing && outcome == Accepted {
-			srv.missed, srv.avoidUntil = 0, 0
+	if sessionEnded || previous != stateDialing {
+		if previous == stateDialing && outcome == Accepted {
+			srv.unansweredDials, srv.avoidUntil = 0, 0
 		}
-		b.enter(s, over, nil)
+		b.setState(s, stateEnded, nil)
 		return
 	}
-	if !outcome.ProvesNotRun() && !s.mayRun {
-		s.mayRun, s.first, s.firstAt = true, srv, s.dialedAt
+	if !outcome.ProvesNotRun() && !s.mayHaveRun {
+		s.mayHaveRun, s.firstServer, s.firstDialAt = true, srv, s.dialedAt
 	}
-	b.enter(s, arrived, nil)
+	b.setState(s, statePending, nil)
 	if outcome == TimedOut || outcome == Failed {
-		b.failed++
+		b.recentFailed++
 	}
 	if outcome == Failed && len(srv.held) == 0 {
-		srv.errors++
+		srv.failedDials++
 	}
 	if outcome == TimedOut || outcome == Unreachable ||
-		outcome == Failed && srv.errors > 1 { // one that only answers errors may be none
-		srv.missed++
-		srv.avoidUntil = now + b.longestWait*time.Duration(min(srv.missed, 4))
-		if srv.missed == 2 {
-			b.say(&srv.saidAt, "server %d: two dials in a row without an answer, avoided", srv.ID)
+		outcome == Failed && srv.failedDials > toleratedErrors { // what only answers with errors may be no server at all
+		srv.unansweredDials++
+		srv.avoidUntil = now + b.maxDialTimeout*time.Duration(min(srv.unansweredDials, maxAvoidTimeouts))
+		if srv.unansweredDials == 2 {
+			b.logLimited(&srv.loggedAt, "server %d: two dials in a row without an answer, avoided", srv.ID)
 		}
 	}
-	b.place(s)
+	b.dialNext(s)
 }
 
-// HandleDrainNotice records that a server has moved a session away by itself: it drains, though the list may say so much
-// later where discovery has more calls than it can take. It gets nothing new until the list must have come.
-func (b *Balancer) HandleDrainNotice(now time.Duration, at ServerID) {
+// HandleDrainNotice records that a server has moved a session away by itself. It is draining, though the list may show that
+// much later if discovery is overloaded. The server gets nothing new for one MaxPollInterval, within which a list must have
+// come.
+func (b *Balancer) HandleDrainNotice(now time.Duration, serverID ServerID) {
 	b.now = now
-	if srv := b.byID[at]; srv != nil {
-		srv.awayUntil = now + b.list.MaxPollInterval
+	if srv := b.serverByID[serverID]; srv != nil {
+		srv.drainNoticeUntil = now + b.listSettings.MaxPollInterval
 	}
 }
 
-// HandleClientGone records that a session's client has gone, or that its answer is overdue.
+// HandleClientGone records that a session's client has gone, or that its answer is overdue. A dial that is out still counts
+// at its server until it ends.
 func (b *Balancer) HandleClientGone(now time.Duration, id SessionID) {
 	b.now = now
-	if s := b.sessions[id]; s != nil && (s.state == dialing || s.state == open) {
-		if s.state == open {
-			s.dialedAt = -1
+	if s := b.sessions[id]; s != nil && (s.state == stateDialing || s.state == stateOpen) {
+		if s.state == stateOpen {
+			s.dialedAt = -1 // no dial is out
 		}
-		b.enter(s, left, s.server)
+		b.setState(s, stateClientGone, s.server)
 	}
 }
 
-// What is seen of load.
+// Reports of load and delay.
 
-// RecordSessionLoad records an open session's load, in cores.
+// RecordSessionLoad records a session's load, in cores. It also counts for the client's next session and in the averages.
 func (b *Balancer) RecordSessionLoad(now time.Duration, id SessionID, _ DialNumber, load float64) {
 	b.now = now
 	if s := b.sessions[id]; s != nil {
 		s.Load = load
-		if len(b.loadOf) >= clientsKept {
-			clear(b.loadOf)
+		if len(b.clientLoads) >= clientLoadsKept {
+			clear(b.clientLoads)
 		}
-		b.loadOf[s.Client] = load
-		b.loads[b.noted%loadsKept] = load
-		b.noted++
-		sum, n := 0.0, min(b.noted, loadsKept)
-		for _, load := range b.loads[:n] {
+		b.clientLoads[s.Client] = load
+		b.sessionLoads[b.sessionLoadCount%sessionLoadsKept] = load
+		b.sessionLoadCount++
+		sum, n := 0.0, min(b.sessionLoadCount, sessionLoadsKept)
+		for _, load := range b.sessionLoads[:n] {
 			sum += load
 		}
-		b.usualLoad = cmp.Or(sum/float64(n), 1)
-		s.loads.add(load)
-		if s.place() != nil {
-			b.weigh(s, load)
+		b.averageSessionLoad = cmp.Or(sum/float64(n), 1)
+		s.averageLoad.add(load)
+		if s.serverList() != nil {
+			b.countLoad(s, load)
 		}
 	}
 }
 
-// RecordServerDelay records how long a server takes to answer a message.
-func (b *Balancer) RecordServerDelay(now time.Duration, at ServerID, delay time.Duration) {
+// RecordServerDelay records how long a server takes to answer a message. If that is late, sessions may be moved off the
+// server and an overload report published. Without a recent report to compare with, messages are taken to have been without
+// a backlog one delayReportInterval ago.
+func (b *Balancer) RecordServerDelay(now time.Duration, serverID ServerID, delay time.Duration) {
 	b.now = now
-	if srv := b.byID[at]; srv != nil {
-		was, span := b.messageTarget/3, noteSpan
-		if now-srv.delayAt < noteSpan*3/2 {
-			was, span = srv.delay, max(now-srv.delayAt, noteSpan/2)
+	if srv := b.serverByID[serverID]; srv != nil {
+		previousDelay, elapsed := b.minMessageTarget/usualDelayDivisor, delayReportInterval
+		if now-srv.delayReportedAt < delayReportLifetime {
+			previousDelay, elapsed = srv.messageDelay, max(now-srv.delayReportedAt, minReportElapsed)
 		}
-		srv.delay, srv.delayAt = delay, now
-		if delay >= b.messageTarget {
-			srv.model.late++
-			b.tell(srv)
-			b.late(srv, float64(delay-was)/float64(span), delay-b.messageTarget/3)
+		srv.messageDelay, srv.delayReportedAt = delay, now
+		if delay >= b.minMessageTarget {
+			srv.model.lateReports++
+			b.maybePublishOverload(srv)
+			b.handleLate(srv, float64(delay-previousDelay)/float64(elapsed), delay-b.minMessageTarget/usualDelayDivisor)
 		}
 	}
 }
 
-// tell lets about one of the proxies that hear of a late server tell the others, where words are allowed and
-// cost no more than a small share of what this proxy's sessions are worth.
-func (b *Balancer) tell(srv *server) {
-	others := float64(b.cold.ProxyCount - 1)
-	hearing := b.part(srv) * float64(len(b.sessions)*b.cold.ProxyCount)
-	affords := float64(b.told+1)*others*b.words.CostPerMessage <= wordShare*float64(b.arrivals)
-	if b.words.Enabled && affords && b.chance.Float64()*hearing < 1 {
-		b.told++
-		b.front.PublishOverload(srv.ID, srv.delay)
+// maybePublishOverload publishes an overload report, by chance so that about one of the proxies that observe a late server
+// does. It does so only if reports are enabled, and cost no more than a small share of what this proxy's sessions are
+// worth.
+func (b *Balancer) maybePublishOverload(srv *server) {
+	otherProxies := float64(b.coldSettings.ProxyCount - 1)
+	observers := b.fleetShare(srv) * float64(len(b.sessions)*b.coldSettings.ProxyCount)
+	affordable := float64(b.publishedReports+1)*otherProxies*b.peerReports.CostPerMessage <=
+		peerReportBudget*float64(b.newSessions)
+	if b.peerReports.Enabled && affordable && b.rng.Float64()*observers < 1 {
+		b.publishedReports++
+		b.front.PublishOverload(srv.ID, srv.messageDelay)
 	}
 }
 
-// ReceiveOverload takes another proxy's overload report. It counts only if this proxy has no session at the server, and so
-// no reports of its own.
-func (b *Balancer) ReceiveOverload(now time.Duration, at ServerID, delay time.Duration) {
+// ReceiveOverload records another proxy's overload report. It counts only if this proxy holds no session at the server, and
+// so has no reports of its own.
+func (b *Balancer) ReceiveOverload(now time.Duration, serverID ServerID, delay time.Duration) {
 	b.now = now
-	srv := b.byID[at]
-	if srv == nil || !b.usable(srv) {
-		b.say(&b.saidWordAt, "a word of server %d is ignored, as the list does not have it ready", at)
+	srv := b.serverByID[serverID]
+	if srv == nil || !b.mayBeDialed(srv) {
+		b.logLimited(&b.peerReportLoggedAt, "a word of server %d is ignored, as the list does not have it ready", serverID)
 		return
 	}
 	if len(srv.held) == 0 {
-		srv.delay, srv.delayAt = delay, now
+		srv.messageDelay, srv.delayReportedAt = delay, now
 	}
 }
 
@@ -1193,92 +1341,94 @@
 func (b *Balancer) HandleTimer(now time.Duration, token TimerToken) {
 	b.now = now
 	switch token {
-	case tokenAsk + b.asks:
-		if !b.watching {
-			b.ask()
+	case tokenSubscribe + b.subscribeTimers:
+		if !b.subscribed {
+			b.subscribe()
 		}
 	case tokenRound:
-		b.front.StartTimer(roundSpan, tokenRound)
-		b.round()
+		b.front.StartTimer(roundInterval, tokenRound)
+		b.runRound()
 	}
 }
 
-// round ends one round of load samples and starts the next.
-func (b *Balancer) round() {
-	b.opened, b.failed = b.opened/2, b.failed/2
-	held, sizes := 0.0, 0.0 // of the servers in time
+// runRound takes a load sample of each ready server, lets load limits recover, moves sessions off draining servers and
+// updates the weights.
+func (b *Balancer) runRound() {
+	b.recentOpened, b.recentFailed = b.recentOpened/2, b.recentFailed/2
+	timelySessions, timelySize := 0.0, 0.0 // of the warm servers in time
 	for _, srv := range b.ready {
-		if b.warmth(srv) >= 1 && (srv.lateAt == 0 || b.now-srv.lateAt >= roundSpan) {
-			held += float64(len(srv.held))
-			sizes += srv.able
+		if b.capacityShare(srv) >= 1 && (srv.lateAt == 0 || b.now-srv.lateAt >= roundInterval) {
+			timelySessions += float64(len(srv.held))
+			timelySize += srv.effectiveSize
 		}
-		if b.now-srv.lateAt > roundSpan {
-			// after a short jam, or with the clients of a lost proxy, the limit must not bind for long
-			srv.full *= 1 + regain*float64((b.now-srv.lateAt)/roundSpan)
+		if b.now-srv.lateAt > roundInterval {
+			// A limit learnt in a short jam, or before this proxy took the clients of a lost one, must not bind for long.
+			srv.loadLimit *= 1 + limitRecovery*float64((b.now-srv.lateAt)/roundInterval)
 		}
-		srv.sample(b.loaded(srv, 0))
+		srv.addLoadSample(b.estimatedLoad(srv, 0))
 	}
-	if sizes == b.sizes { // while no server is late they can do more than that
-		held /= fullLoad
+	if timelySize == b.totalSize { // while no server is late, they could hold more
+		timelySessions /= fullLoad
 	}
-	if sizes > b.sizes/2 {
-		b.calm = max(b.calm, held/sizes)
+	if timelySize > b.totalSize/2 {
+		b.sustainedDensity = max(b.sustainedDensity, timelySessions/timelySize)
 	}
 	for _, srv := range b.servers {
-		if srv.drained { // what it still holds when it stops is cut off
-			b.send(srv, srv.carried/2, func(*session) float64 { return 1 })
+		if srv.drainListed { // sessions that it still holds when it stops are cut off
+			b.moveSessions(srv, srv.carriedLoad/drainMoveDivisor, func(*session) float64 { return 1 })
 		}
 	}
-	b.learnModels()
-	b.adapt()
-	b.setWeights()
+	b.updateModelSpeeds()
+	b.adaptWeights()
+	b.updateWeights()
 }
 
-// relieve moves what a server carries beyond what it is able to, in the order in which falling weights would
-// move keys, so that groups leave whole and all proxies pick the same; only what another has room for. Above
-// full load none is served in time, so the rest goes too, least utility for its load first.
-func (b *Balancer) relieve(srv *server, able float64) {
-	rest := b.send(srv, srv.carried-able, func(s *session) float64 {
-		to := b.next(s)
-		if to == nil || b.loaded(to, s.Load) > b.limit {
+// relieveServer moves the load that a server carries beyond targetLoad, in cores. First go sessions for which another
+// server has room, in the order in which falling weights would move their keys, so that groups leave whole and all proxies
+// choose alike. Above full load no session is served in time, so what remains is moved too, the most load for the least
+// utility first.
+func (b *Balancer) relieveServer(srv *server, targetLoad float64) {
+	remaining := b.moveSessions(srv, srv.carriedLoad-targetLoad, func(s *session) float64 {
+		target := b.selectServer(s)
+		if target == nil || b.estimatedLoad(target, s.Load) > b.loadThreshold {
 			return 0
 		}
-		return to.x * draw(s.mark, to.ID) / (srv.x * draw(s.mark, srv.ID))
+		return target.weight * keyHash(s.placementKey, target.ID) / (srv.weight * keyHash(s.placementKey, srv.ID))
 	})
-	b.send(srv, rest, func(s *session) float64 {
-		return s.weighed / max(s.Utility, 1e-9)
+	b.moveSessions(srv, remaining, func(s *session) float64 {
+		return s.countedLoad / max(s.Utility, minUtility)
 	})
 }
 
-// send moves sessions of the given load off a server, those that rank highest first, none that ranks 0, and
-// returns the load for which there were none. A session that is more than what is left goes by chance in
-// proportion: of many proxies each may hold one there, and all together move about the excess.
-func (b *Balancer) send(srv *server, load float64, rank func(*session) float64) float64 {
+// moveSessions moves sessions of the given load, in cores, off a server: those of the highest rank first, none of rank 0.
+// It returns the load for which there were no sessions. A session with more load than is left to move goes by chance, in
+// proportion: each of many proxies may hold just one session there, and all together must move about the excess.
+func (b *Balancer) moveSessions(srv *server, load float64, rank func(*session) float64) float64 {
 	if load <= 0 {
 		return 0
 	}
-	if len(srv.held) == 1 && b.chance.Float64()*srv.carried > load {
-		return 0 // ranking costs a pick
+	if len(srv.held) == 1 && b.rng.Float64()*srv.carriedLoad > load {
+		return 0 // drawn before ranking, which costs a pass over the fleet
 	}
 	for _, s := range srv.held {
-		s.rank = rank(s)
+		s.moveRank = rank(s)
 	}
 	for load > 0 {
-		var next *session
+		var candidate *session
 		for _, s := range srv.held {
-			if s.rank > 0 && (next == nil || s.rank > next.rank) {
-				next = s
+			if s.moveRank > 0 && (candidate == nil || s.moveRank > candidate.moveRank) {
+				candidate = s
 			}
 		}
-		if next == nil {
+		if candidate == nil {
 			return load
 		}
-		if len(srv.held) > 1 && next.weighed > load && b.chance.Float64()*next.weighed > load {
+		if len(srv.held) > 1 && candidate.countedLoad > load && b.rng.Float64()*candidate.countedLoad > load {
 			return 0
 		}
-		load -= next.weighed
-		b.enter(next, moving, srv)
-		b.front.Move(next.ID)
+		load -= candidate.countedLoad
+		b.setState(candidate, stateMoving, srv)
+		b.front.Move(candidate.ID)
 	}
 	return 0
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -62,7 +62,7 @@
 		{1, Accepted, 1, none},
 	} {
 		r := fleet(6)
-		r.b.opened = 9 // an hour in which dials are answered
+		r.b.recentOpened = 9 // an hour in which dials are answered
 		s := r.arrive(c.listener, 9, 9, 0)
 		for s.dialing != 0 {
 			r.settle(s, c.outcome)
@@ -78,7 +78,7 @@
 func TestMidFlow(t *testing.T) {
 	r := fleet(5)
 	top := r.topServer(77)
-	top.full, top.carried, top.missed, top.avoidUntil = 1, 2, 1, sec
+	top.loadLimit, top.carriedLoad, top.unansweredDials, top.avoidUntil = 1, 2, 1, sec
 	r.b.PlaceSession(0, Arrival{ID: 900, TimeLeft: sec, Client: 77, MidFlow: true})
 	if r.sessions[900] != nil || len(r.dialsTo[top.ID]) != 1 {
 		t.Error("the mid-flow session was not sent to its holder")
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -19,12 +19,12 @@
 			count++
 		}
 	}
-	if got, want := count/keys/(4/r.b.sizes), 0.15+0.85*0.1; math.Abs(got-want) > want/4 {
+	if got, want := count/keys/(4/r.b.totalSize), 0.15+0.85*0.1; math.Abs(got-want) > want/4 {
 		t.Errorf("the cold server gets %.3f of its share, want about %.3f", got, want)
 	}
 	r.b.now += someCold.RampDuration
-	r.b.round()
-	if srv := r.b.byID[500]; srv.x != srv.base*srv.factor {
+	r.b.runRound()
+	if srv := r.b.serverByID[500]; srv.weight != srv.baseWeight*srv.adaptFactor {
 		t.Error("the server is still ramping after its span")
 	}
 }
@@ -76,7 +76,7 @@
 					r.settle(s, Accepted)
 					r.b.RecordSessionLoad(start, s.id, 0, loads[listeners[k]])
 				}
-				r.b.round()
+				r.b.runRound()
 				r.publish(ListDelta, []Entry{{ID: small, Size: 0.5, Status: Ready, StartKnown: true, StartedAt: start},
 					{ID: large, Size: 8, Status: Ready, StartKnown: true, StartedAt: start}})
 				rigs[i] = r
@@ -94,7 +94,7 @@
 						srv.lateAt = now
 					}
 					if step%20 == 0 {
-						r.b.round()
+						r.b.runRound()
 					}
 					for range c.come(rng, step) {
 						listener := listeners[rng.Intn(perProxy)]
@@ -109,7 +109,7 @@
 				}
 				for id, size := range map[ServerID]float64{small: 0.5, large: 8} {
 					capacity := proxies * (loads[0]*3 + loads[1]) / servers * size / assumedLoad
-					budget := rule.OverloadMultiple * rigs[0].b.warmth(rigs[0].b.byID[id]) * capacity * rule.OverloadWindow.Seconds() / rule.RampDuration.Seconds()
+					budget := rule.OverloadMultiple * rigs[0].b.capacityShare(rigs[0].b.serverByID[id]) * capacity * rule.OverloadWindow.Seconds() / rule.RampDuration.Seconds()
 					load := 0.0
 					for _, s := range dialsTo[id] {
 						if s.at > now-rule.OverloadWindow {
@@ -146,7 +146,7 @@
 		r.cold = rule
 		r.list(ListFull, 9)
 		r.fill(60)
-		r.b.round()
+		r.b.runRound()
 		r.b.Reconfigure(0, r.listeners, r.dials, budget, ListSettings{NeedsSubscription: true, MaxPollInterval: 10 * sec}, rule, PeerReportSettings{})
 		r.now = 4 * sec
 		cold := Entry{ID: 10, Size: 8, Status: Ready, StartKnown: true, StartedAt: r.now}
@@ -170,7 +170,7 @@
 					dialing = append(dialing, s)
 					continue
 				}
-				allowed, at := r.b.MaySend(r.now, s.id), r.b.byID[s.dialing]
+				allowed, at := r.b.MaySend(r.now, s.id), r.b.serverByID[s.dialing]
 				if allowed && s.dials > 1 {
 					furtherDials = append(furtherDials, r.now)
 					n, limit := inWindow(furtherDials, r.now-budget.Window), budget.FreeRetries+budget.RetriesPerSession*float64(inWindow(arrivals, r.now-budget.Window*5/4))
@@ -183,9 +183,9 @@
 					if now := int((r.now - cold.StartedAt) / rule.OverloadWindow); now != interval {
 						interval, sent = now, 0
 					}
-					r.b.takeTurn(at)
-					if sent += r.b.weight(r.b.sessions[s.id]); sent > at.turn+1e-9 {
-						t.Fatalf("seed %d: %v goes out in frame %d, whose turn is %v", seed, sent, interval, at.turn)
+					r.b.updateSlotQuota(at)
+					if sent += r.b.relativeLoad(r.b.sessions[s.id]); sent > at.slotQuota+1e-9 {
+						t.Fatalf("seed %d: %v goes out in frame %d, whose turn is %v", seed, sent, interval, at.slotQuota)
 					}
 				}
 				if r.settle(s, map[bool]Outcome{true: ServerFull, false: NotSent}[allowed]); s.dialing != 0 {
--- a/choice/cold_throng_test.go
+++ b/choice/cold_throng_test.go
@@ -58,7 +58,7 @@
 				r.b.RecordSessionLoad(start, s.id, 0, loads[kind])
 				held += loads[kind]
 			}
-			r.b.round()
+			r.b.runRound()
 			r.publish(ListDelta, []Entry{cold(fresh), cold(large), cold(back)})
 			rigs[me] = r
 		}
@@ -80,7 +80,7 @@
 			for _, r := range rigs {
 				r.now, r.b.now = now, now
 				if step%20 == 0 {
-					r.b.round()
+					r.b.runRound()
 				}
 				for range chance.Intn(2 * burst) {
 					kind := chance.Intn(len(listeners))
@@ -95,7 +95,7 @@
 			}
 			for id, size := range sizes {
 				able := held / float64(servers) * size / assumedLoad
-				allowed := rule.OverloadMultiple * rigs[0].b.warmth(rigs[0].b.byID[id]) * able * rule.OverloadWindow.Seconds() / rule.RampDuration.Seconds() / mean
+				allowed := rule.OverloadMultiple * rigs[0].b.capacityShare(rigs[0].b.serverByID[id]) * able * rule.OverloadWindow.Seconds() / rule.RampDuration.Seconds() / mean
 				got := 0.0
 				for _, s := range sends[id] {
 					if s.at > now-rule.OverloadWindow {
--- a/choice/faults_test.go
+++ b/choice/faults_test.go
@@ -26,7 +26,7 @@
 			s := srv.held[0]
 			r.b.HandleDialEnd(r.now, s.ID, DialNumber(s.dials-1), srv.ID, ConnectionLost, 0, true)
 		}
-		if late := srv.full > 0; late != c.late {
+		if late := srv.loadLimit > 0; late != c.late {
 			t.Errorf("%+v: late %v with %d held", c, late, len(srv.held))
 		}
 	}
@@ -43,9 +43,9 @@
 	if left := len(hung.held); left > before/2 {
 		t.Errorf("the hung server still holds %d of %d sessions", left, before)
 	}
-	hung.lateAt, hung.delayAt = 0, -time.Minute
+	hung.lateAt, hung.delayReportedAt = 0, -time.Minute
 	for tries := range 3 {
-		r.dialsTo[hung.ID], hung.full = nil, 0
+		r.dialsTo[hung.ID], hung.loadLimit = nil, 0
 		for k := Key(1); k <= 60; k++ {
 			r.arrive(0, k, k, 0)
 		}
@@ -57,7 +57,7 @@
 				r.settle(s, TimedOut)
 			}
 		}
-		if r.now = hung.avoidUntil; r.now < time.Duration(tries+1)*r.b.longestWait {
+		if r.now = hung.avoidUntil; r.now < time.Duration(tries+1)*r.b.maxDialTimeout {
 			t.Errorf("the hung server is tried again at %v", r.now)
 		}
 	}
@@ -69,9 +69,9 @@
 	for _, outcome := range []Outcome{Failed, TimedOut, Unreachable, ServerFull} {
 		r := fleet(6)
 		if outcome == ServerFull { // which after errors proves that it is there
-			r.topServer(1).errors = 2
+			r.topServer(1).failedDials = 2
 		}
-		r.b.opened = 99
+		r.b.recentOpened = 99
 		ghost, tries := r.topServer(1), 0
 		for range 30 {
 			r.now += 50 * ms
--- a/choice/list_test.go
+++ b/choice/list_test.go
@@ -50,7 +50,7 @@
 func TestLyingList(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		r := fleet(2)
-		r.b.list.OnlyDrainsExclude, r.drainsBindAlone = alone, alone
+		r.b.listSettings.OnlyDrainsExclude, r.drainsBindAlone = alone, alone
 		entry := func(id ServerID, standing ServerStatus, since time.Duration) Entry {
 			return Entry{ID: id, Size: 1, Status: standing, StartKnown: since != 0, StartedAt: since}
 		}
@@ -94,7 +94,7 @@
 	}
 	r.b.HandleDrainNotice(r.now, 1)
 	r.publish(ListDelta, []Entry{{ID: 1, Status: Ready, StartKnown: true, StartedAt: r.now - sec}})
-	if !r.b.trusted(r.b.byID[1]) {
+	if !r.b.isTrusted(r.b.serverByID[1]) {
 		t.Error("not trusted after its start")
 	}
 }
@@ -103,11 +103,11 @@
 func TestDraining(t *testing.T) {
 	r := fleet(3)
 	r.fill(30)
-	held := func(id ServerID) int { return len(r.b.byID[id].held) }
+	held := func(id ServerID) int { return len(r.b.serverByID[id].held) }
 	before, others := held(1), held(2)+held(3)
 	r.publish(ListDelta, []Entry{{ID: 1, Size: 4, Status: Draining}})
 	for round := 1; round <= 12; round++ {
-		r.now += roundSpan
+		r.now += roundInterval
 		r.b.HandleTimer(r.now, tokenRound)
 		if n := held(1); round == 1 && (n == 0 || n > before*2/3) || round == 12 && n > 0 {
 			t.Errorf("%d of %d sessions are left after round %d", n, before, round)
--- a/choice/overload_test.go
+++ b/choice/overload_test.go
@@ -21,7 +21,7 @@
 			t.Errorf("%d dials, %q, come back %v", s.dials, s.answer, s.retryAfter)
 		}
 		for _, srv := range r.b.ready {
-			srv.missed, srv.avoidUntil = 1, time.Hour // and the same when none is trusted either
+			srv.unansweredDials, srv.avoidUntil = 1, time.Hour // and the same when none is trusted either
 		}
 	}
 }
@@ -35,7 +35,7 @@
 			r.b.AdoptSession(0, Arrival{ID: id, Group: k}, srv.ID)
 		}
 	}
-	r.b.relieve(srv, 20)
+	r.b.relieveServer(srv, 20)
 	left, parted := map[Key]int{}, 0
 	for _, s := range srv.held {
 		left[s.Group]++
@@ -80,7 +80,7 @@
 		published := 0
 		for seed := range int64(200) {
 			r := fleet(9)
-			r.b.words, r.b.cold.ProxyCount, r.b.chance = rule, 200, rand.New(rand.NewSource(seed))
+			r.b.peerReports, r.b.coldSettings.ProxyCount, r.b.rng = rule, 200, rand.New(rand.NewSource(seed))
 			r.fill(9)
 			r.b.RecordServerDelay(sec, r.topServer(1).ID, 200*ms)
 			published += r.delayReports
@@ -108,7 +108,7 @@
 			r.b.RecordServerDelay(0, srv.ID, delay)
 		}
 		if s := r.arrive(0, 1, 1, 0); s.dials != want {
-			t.Errorf("%d dials to servers whose messages take %v of %v", s.dials, delay, r.b.messageTarget)
+			t.Errorf("%d dials to servers whose messages take %v of %v", s.dials, delay, r.b.minMessageTarget)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 		r := fleet(2)
 		r.fill(sessions)
 		for _, srv := range r.b.ready {
-			srv.able = r.b.sizes / 2
+			srv.effectiveSize = r.b.totalSize / 2
 			srv.held, srv.lateAt = nil, sec
 		}
 		for want, at := range []time.Duration{sec + rest - 1, sec + rest} {
@@ -143,7 +143,7 @@
 		for step := range 400 {
 			r.now += 100 * ms
 			if step%20 == 0 {
-				r.b.round()
+				r.b.runRound()
 			}
 			s := r.arrive(0, Key(step), 0, 0)
 			works := step >= 200
@@ -179,15 +179,15 @@
 // clients had last been told to ask for next to nothing: each counts as its listener's usual session at least.
 func TestIdleClients(t *testing.T) {
 	r := fleet(3)
-	r.b.cold.ProxyCount = 2
+	r.b.coldSettings.ProxyCount = 2
 	for k := range Key(60) {
 		s := r.arrive(0, k, 0, 0)
 		r.settle(s, Accepted)
 		r.b.RecordSessionLoad(0, s.id, 0, 1)
 	}
-	r.b.round()
+	r.b.runRound()
 	for k := range Key(600) {
-		r.b.loadOf[k] = 0.001
+		r.b.clientLoads[k] = 0.001
 	}
 	r.publish(ListDelta, []Entry{{ID: 100, Size: 2, Status: Ready, StartKnown: true, StartedAt: -2 * sec}})
 	for k := range Key(600) {
@@ -205,15 +205,15 @@
 func TestLimits(t *testing.T) {
 	r := fleet(2)
 	srv := r.b.ready[0]
-	srv.full, srv.carried, srv.lateAt = 4, 5, sec
-	if got := r.b.known(srv); got != 1.25 {
+	srv.loadLimit, srv.carriedLoad, srv.lateAt = 4, 5, sec
+	if got := r.b.observedLoad(srv); got != 1.25 {
 		t.Errorf("known load is %v, want 1.25", got)
 	}
 	for i, want := range []float64{4, 4.2, 4.62, 5.313} {
-		r.b.now = sec + time.Duration(i)*roundSpan + 1
-		r.b.round()
-		if math.Abs(srv.full-want) > 1e-9 {
-			t.Errorf("the limit is %v after %d quiet rounds, want %v", srv.full, i, want)
+		r.b.now = sec + time.Duration(i)*roundInterval + 1
+		r.b.runRound()
+		if math.Abs(srv.loadLimit-want) > 1e-9 {
+			t.Errorf("the limit is %v after %d quiet rounds, want %v", srv.loadLimit, i, want)
 		}
 	}
 }
@@ -231,7 +231,7 @@
 				r.b.HandleDialEnd(0, s.id, 0, 1, Accepted, 0, true)
 			}
 		}
-		r.b.ready[0].full = 2
+		r.b.ready[0].loadLimit = 2
 		if s := r.arrive(0, 1, 0, 0); s.dials != want {
 			t.Errorf("a client of load %v gets %d dials, want %d", load, s.dials, want)
 		}
--- a/choice/rig_test.go
+++ b/choice/rig_test.go
@@ -267,7 +267,7 @@
 
 // topServer is the one with the highest score for a key.
 func (r *rig) topServer(key Key) *server {
-	return r.b.pick(&session{mark: key}, anyServer)
+	return r.b.pick(&session{placementKey: key}, anyServer)
 }
 
 // arrive hands a new session to the module; a time left of 0 stands for the dial timeout.
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -13,20 +13,20 @@
 		r.fill(300)
 		r.b.RecordSessionLoad(0, 1, 0, 0.5)
 		r.notePeak()
-		r.b.round()
+		r.b.runRound()
 		r.publish(ListDelta, []Entry{{ID: 9, Size: 4, Status: Ready, StartKnown: true, StartedAt: 0}})
 		for k := range Key(400) {
 			r.now += 50 * ms
 			s := r.arrive(1, k, 0, 0)
 			if k == 100 {
-				r.b.models[0].speed, r.b.ready[0].full = 0.8, 3
+				r.b.models[0].speed, r.b.ready[0].loadLimit = 0.8, 3
 				r.switchSettings(other, RetryBudget{})
 			}
 			for s.dialing != 0 {
 				r.settle(s, ServerFull)
 			}
-			load := r.b.terms[map[bool]int{true: 1}[other && k >= 100]].loads.value
-			if s.dials != most || load != 0.5 || k == 100 && (r.b.models[0].speed != 0.8 || r.b.ready[0].full != 3) {
+			load := r.b.listeners[map[bool]int{true: 1}[other && k >= 100]].averageLoad.value
+			if s.dials != most || load != 0.5 || k == 100 && (r.b.models[0].speed != 0.8 || r.b.ready[0].loadLimit != 3) {
 				t.Fatalf("other %v: session %d has %d dials, want %d; or something learnt is lost", other, k, s.dials, most)
 			}
 			if k == 100 {
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 		if got, want := r.b.sessions[id].Name == "other", under == (SessionSettings{}); got != want {
-			t.Errorf("session %d comes under %+v", id, *r.b.sessions[id].terms)
+			t.Errorf("session %d comes under %+v", id, *r.b.sessions[id].listenerSettings)
 		}
 	}
 }
@@ -69,13 +69,13 @@
 				t.Errorf("%d servers: %d dials, %q", n, s.dials, s.answer)
 			}
 			for _, srv := range r.b.ready {
-				srv.missed, srv.avoidUntil = 3, time.Hour
+				srv.unansweredDials, srv.avoidUntil = 3, time.Hour
 			}
 		}
-		r.now += roundSpan
+		r.now += roundInterval
 		r.b.HandleTimer(r.now, tokenRound)
 		s := &session{Arrival: Arrival{Group: 5}}
-		if a := testing.AllocsPerRun(100, func() { r.b.next(s) }); a != 0 {
+		if a := testing.AllocsPerRun(100, func() { r.b.selectServer(s) }); a != 0 {
 			t.Errorf("%d servers: %v allocations a pick", n, a)
 		}
 	}
--- a/choice/slopes_test.go
+++ b/choice/slopes_test.go
@@ -39,7 +39,7 @@
 func slopeEntries(servers int) []Entry {
 	entries := make([]Entry, servers)
 	for i := range entries {
-		entries[i] = Entry{ID: ServerID(mix(uint64(i))), Size: float64(2 + i%3), Zone: ZoneID(i % 10), Status: Ready}
+		entries[i] = Entry{ID: ServerID(mixBits(uint64(i))), Size: float64(2 + i%3), Zone: ZoneID(i % 10), Status: Ready}
 	}
 	return entries
 }
@@ -58,7 +58,7 @@
 }
 
 func openSession(b *Balancer, front *quietFront, id SessionID) {
-	openInGroup(b, front, id, Key(mix(uint64(id/4))))
+	openInGroup(b, front, id, Key(mixBits(uint64(id/4))))
 }
 
 func openInGroup(b *Balancer, front *quietFront, id SessionID, group Key) {
@@ -160,7 +160,7 @@
 			_, bytes := heap.Held(func() *Balancer {
 				balancer, front := balancerOf(usualServers, 0)
 				for id := range sessions {
-					openInGroup(balancer, front, SessionID(id+1), Key(mix(uint64(id%groups))))
+					openInGroup(balancer, front, SessionID(id+1), Key(mixBits(uint64(id%groups))))
 				}
 				return balancer
 			})
@@ -228,9 +228,9 @@
 			allowed := 0.0
 			for b.Loop() {
 				first, allowed = 0, 0
-				balancer.cold = ColdSettings{RampDuration: slopeColdSpan, InitialShare: 0.2, OverloadMultiple: 3, OverloadWindow: slopeColdWindow, ProxyCount: proxies, ProxyIndex: proxies / 3}
+				balancer.coldSettings = ColdSettings{RampDuration: slopeColdSpan, InitialShare: 0.2, OverloadMultiple: 3, OverloadWindow: slopeColdWindow, ProxyCount: proxies, ProxyIndex: proxies / 3}
 				balancer.ApplyList(0, ListFull, entries)
-				balancer.calm = sessionsEach
+				balancer.sustainedDensity = sessionsEach
 				for _, srv := range balancer.servers {
 					at, turns := coldTurns(balancer, srv)
 					first, allowed = first+at, allowed+turns
@@ -244,11 +244,11 @@
 
 func coldTurns(b *Balancer, srv *server) (first time.Duration, turns float64) {
 	first = slopeColdSpan // where there is none
-	srv.frame = 0
+	srv.quotaSlot = 0
 	for at := time.Duration(0); at < slopeColdSpan; at += slopeColdWindow {
 		b.now = at
-		b.takeTurn(srv)
-		if turns += srv.turn; srv.turn > 0 {
+		b.updateSlotQuota(srv)
+		if turns += srv.slotQuota; srv.slotQuota > 0 {
 			first = min(first, at)
 		}
 	}
@@ -261,15 +261,15 @@
 		b.Run(fmt.Sprintf("sessions=%d", n), func(b *testing.B) {
 			balancer, bytes := heap.Held(func() *Balancer {
 				balancer, _ := balancerOf(0, 0)
-				balancer.budget = RetryBudget{FreeRetries: 10, RetriesPerSession: 0.1, Window: time.Minute}
+				balancer.retryBudget = RetryBudget{FreeRetries: 10, RetriesPerSession: 0.1, Window: time.Minute}
 				for i := range n {
-					balancer.taken.add(time.Duration(i)*time.Minute/time.Duration(n), 0)
+					balancer.arrivalTimes.add(time.Duration(i)*time.Minute/time.Duration(n), 0)
 				}
 				return balancer
 			})
 			balancer.now = time.Minute
 			for b.Loop() {
-				balancer.affords()
+				balancer.hasRetryBudget()
 			}
 			b.ReportMetric(bytes, "held-B")
 		})
--- a/choice/types.go
+++ b/choice/types.go
@@ -79,9 +79,9 @@
 	MaxRetryAfter time.Duration // of a Refuse; 0 if clients take no advice
 }
 
-// RetryBudget bounds all retries of a proxy, which are the dials beyond each session's first. Within any Window there are at
-// most FreeRetries plus RetriesPerSession for each session that arrived in that window, refused ones included. With a Window
-// of 0 there is no bound.
+// RetryBudget bounds all retries of a proxy, which are the dials beyond each session's first. Within any Window there are
+// at most FreeRetries plus RetriesPerSession for each session that arrived in that window, refused ones included. With a
+// Window of 0 there is no bound.
 type RetryBudget struct {
 	FreeRetries       float64 // dials
 	RetriesPerSession float64 // dials for each session
@@ -103,14 +103,16 @@
 	OnlyDrainsExclude bool
 }
 
-// ColdSettings describe servers that have just started, and so how much all proxies together may send to one.
+// ColdSettings describe servers that have just started, and so how much all proxies together may send to one. A cold server
+// fails if within any OverloadWindow it is sent more sessions than OverloadMultiple * OverloadWindow / RampDuration times
+// as many as it can carry at present. This present capacity grows from InitialShare of the full one to all of it.
 type ColdSettings struct {
 	RampDuration     time.Duration // after a start; the server is warm after this at the latest; 0: servers start warm
 	InitialShare     float64       // share of its full capacity that a server has at its start, above 0, up to 1
-	OverloadMultiple float64       // a server sent more than this times its present capacity ...
-	OverloadWindow   time.Duration // ... within this time is overloaded and fails
-	ProxyCount       int           // proxies in the settings
-	ProxyIndex       int           // this proxy's number among them, from 0
+	OverloadMultiple float64
+	OverloadWindow   time.Duration
+	ProxyCount       int // proxies in the settings
+	ProxyIndex       int // this proxy's number among them, from 0
 }
 
 // PeerReportSettings say whether proxies may send overload reports to one another.
@@ -166,10 +168,10 @@
 	Settings    SessionSettings // zero: those of the session's listener at present
 }
 
-// SessionSettings are a listener's settings at one moment. A session keeps those that it arrived under. Who tells the Balancer
-// of a session later, perhaps after a Reconfigure, takes them from Balancer.SessionSettings when it arrives. The zero value
-// stands for the present settings of the session's listener.
-type SessionSettings struct{ terms *terms }
+// SessionSettings are a listener's settings at one moment. A session keeps those that it arrived under. Who tells the
+// Balancer of a session later, perhaps after a Reconfigure, takes them from Balancer.SessionSettings when it arrives. The
+// zero value stands for the present settings of the session's listener.
+type SessionSettings struct{ listener *listenerSettings }
 
 // Outcome is how a dial ended, or the session that it opened.
 type Outcome int
--- a/choice/weights_test.go
+++ b/choice/weights_test.go
@@ -20,7 +20,7 @@
 		}
 		for _, srv := range r.b.ready {
 			if srv.Size > 2 {
-				want += srv.Size / r.b.sizes
+				want += srv.Size / r.b.totalSize
 			}
 		}
 		if got := large / float64(keys); math.Abs(got-want) > 0.01 {
@@ -36,13 +36,13 @@
 		before[k] = r.topServer(Key(k))
 	}
 	for i, srv := range r.b.ready {
-		srv.sample([]float64{3, 3, 0, 0, 0, 0, 0, 0}[i])
+		srv.addLoadSample([]float64{3, 3, 0, 0, 0, 0, 0, 0}[i])
 	}
-	r.b.adapt()
-	r.b.setWeights()
+	r.b.adaptWeights()
+	r.b.updateWeights()
 	moved := 0
 	for k, was := range before {
-		if is := r.topServer(Key(k)); is != was && was.factor < 1 && is.factor == 1 {
+		if is := r.topServer(Key(k)); is != was && was.adaptFactor < 1 && is.adaptFactor == 1 {
 			moved++
 		} else if is != was {
 			t.Fatalf("key %d moves from %d to %d", k, was.ID, is.ID)
@@ -65,12 +65,12 @@
 		r := newRig(someCold, rand.New(rand.NewSource(1)))
 		r.list(ListFull, len(c.loads))
 		for i, srv := range r.b.ready {
-			srv.sample(c.loads[i])
+			srv.addLoadSample(c.loads[i])
 		}
-		r.b.adapt()
+		r.b.adaptWeights()
 		for i, srv := range r.b.ready {
-			if math.Abs(srv.factor-c.want[i]) > 1e-9 {
-				t.Errorf("loads %v: server %d has %v, want %v", c.loads, i, srv.factor, c.want[i])
+			if math.Abs(srv.adaptFactor-c.want[i]) > 1e-9 {
+				t.Errorf("loads %v: server %d has %v, want %v", c.loads, i, srv.adaptFactor, c.want[i])
 			}
 		}
 	}
@@ -91,7 +91,7 @@
 		for _, srv := range r.b.ready[:c.late] {
 			srv.lateAt = sec
 		}
-		if got := r.b.depth(&session{Arrival: Arrival{Group: 7}}); got != c.want {
+		if got := r.b.candidateCount(&session{Arrival: Arrival{Group: 7}}); got != c.want {
 			t.Errorf("%+v: the group may go down %d scores", c, got)
 		}
 	}
@@ -135,13 +135,13 @@
 			r.b.AdoptSession(0, Arrival{ID: SessionID(i), Client: Key(i)}, ServerID(1+i%20))
 		}
 		for range c.rounds {
-			r.now += roundSpan
+			r.now += roundInterval
 			for _, id := range c.late {
 				r.b.RecordServerDelay(r.now, id, 101*ms)
 			}
 			r.b.HandleTimer(r.now, tokenRound)
 		}
-		one, two := 10*r.b.part(r.b.byID[1]), 10*r.b.part(r.b.byID[2])
+		one, two := 10*r.b.fleetShare(r.b.serverByID[1]), 10*r.b.fleetShare(r.b.serverByID[2])
 		if two < c.least || two > c.most || math.Abs(one+two-1) > 1e-9 || r.failure != "" {
 			t.Errorf("%v late: shares of %.3f and %.3f; %s", c.late, one, two, r.failure)
 		}
@@ -181,7 +181,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				s.Group = Key(i)
-				r.b.next(s)
+				r.b.selectServer(s)
 			}
 		})
 	}
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -5,7 +5,7 @@
 // What the code fixes, by the packages that it stands in. The flat counts are replaced: theirs is what internal/sharing
 // had at the commits that measured them.
 const (
-	roundsPerSecond      = 0.5         // choice: roundSpan
+	roundsPerSecond      = 0.5         // choice: roundInterval
 	sweepsPerSecond      = 10.0        // internal/proxy: sweeps in a noteSpan
 	sumsPerSecond        = 1.0         // internal/proxy: noteSpan
 	flatInterval         = 0.5         // seconds between datagrams, as the file left it out
