--- a/choice/choice.go
+++ b/choice/choice.go
@@ -159,7 +159,7 @@
 }
 
 // model holds what is learnt of the servers of one hardware model. A listed size is a number of cores or the like, and does
-// not tell how fast these are.
+// not say how fast these cores are.
 type model struct {
 	id              ModelID
 	speed           float64 // multiplies the listed sizes of its servers
@@ -436,9 +436,9 @@
 }
 
 // updateModelSpeeds guards against listed sizes that say nothing of a server's speed. Servers of a slow model are late more
-// often than others with as many sessions, but each proxy observes too few servers to learn this of each by itself. So a
-// model's speed falls with each late report that it has beyond its part, and rises with each one below, where the part is
-// what it would have if all observed servers were late equally often.
+// often than others with as many sessions, but each proxy observes too few servers to learn this of every one.
+// So a model's speed falls with each late report that it has beyond its part, and rises with each one below, where the part
+// is what it would have if all observed servers were late equally often.
 func (b *Balancer) updateModelSpeeds() {
 	lateReports, observedServers := 0.0, 0.0
 	for _, m := range b.models {
@@ -991,8 +991,8 @@
 // selectServer returns the server with the highest score, or if that has no room one of the next few that does, or nil.
 // Otherwise a hot group would fill its server while others stand idle. Each server that holds sessions of a group has the
 // group's cost, so no more than candidateCount servers are considered. A client that reconnects, probably moved off a late
-// server, passes a server that this proxy does not observe as often as observed ones are late: otherwise such clients would
-// all go to the few servers that nobody has seen late yet, and make them late.
+// server, skips a server that this proxy does not observe, with the probability that an observed one is late: otherwise
+// such clients would all go to the few servers that nobody has seen late yet, and make them late.
 func (b *Balancer) selectServer(s *session) *server {
 	var fallback *server
 	for _, candidate := range b.topScores(s, b.candidateCount(s), (*Balancer).eligibleTrusted) {
@@ -1009,8 +1009,8 @@
 	return fallback
 }
 
-// lateShare returns the share of late servers among those that this proxy observes, which are those with sessions of its
-// own.
+// lateShare returns the share of late servers among those that this proxy observes: those that hold a session of its own,
+// and those known to be late or full.
 func (b *Balancer) lateShare() float64 {
 	if b.now-b.lateShareComputedAt > lateShareLifetime {
 		lateServers, timelyServers := 0.0, lateSharePrior
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -6,8 +6,9 @@
 	"testing/quick"
 )
 
+// Settings of two deployments. The first listener of one and the second of the other share a name.
 var (
-	someListeners = []Listener{
+	testListeners = []Listener{
 		{Name: "a", HandshakeTarget: 300 * ms, DialTimeout: 1200 * ms, MessageTarget: 100 * ms, Utility: 3},
 		{HandshakeTarget: 500 * ms, DialTimeout: 2 * sec, Idempotency: NonIdempotent, Utility: 1},
 		{HandshakeTarget: 300 * ms, DialTimeout: 1800 * ms, Idempotency: IdempotencyKeyed,
@@ -17,21 +18,23 @@
 		{HandshakeTarget: 300 * ms, DialTimeout: 1800 * ms, Idempotency: IdempotencyKeyed, DedupScope: DedupCell,
 			DedupWindow: 900 * ms, Utility: 1},
 	}
-	someCold       = ColdSettings{RampDuration: 20 * sec, InitialShare: 0.15, OverloadMultiple: 3, OverloadWindow: 3 * sec, ProxyCount: 3}
+	testCold = ColdSettings{RampDuration: 20 * sec, InitialShare: 0.15, OverloadMultiple: 3, OverloadWindow: 3 * sec,
+		ProxyCount: 3}
 	otherListeners = []Listener{
 		{Name: "e", HandshakeTarget: 400 * ms, DialTimeout: 1500 * ms, Idempotency: NonIdempotent, Utility: 2},
 		{Name: "a", HandshakeTarget: 200 * ms, DialTimeout: 900 * ms, MessageTarget: 250 * ms, Utility: 1},
 	}
-	otherCold = ColdSettings{RampDuration: 9 * sec, InitialShare: 0.3, OverloadMultiple: 2.5, OverloadWindow: 1500 * ms, ProxyCount: 40, ProxyIndex: 7}
+	otherCold = ColdSettings{RampDuration: 9 * sec, InitialShare: 0.3, OverloadMultiple: 2.5, OverloadWindow: 1500 * ms,
+		ProxyCount: 40, ProxyIndex: 7}
 )
 
-// TestRules drives the module through lists, restarts, outcomes, departures, load and delay reports, messages of other
-// proxies, late events and changes of settings, with few servers and with many.
-// The rig checks the rules at each call and after each step.
+// TestRules drives a Balancer at random through lists, restarts, outcomes, clients that leave, delay reports, overload
+// reports of other proxies, late events and changes of settings, with few servers and with many. The rig checks the rules
+// at each call and after each step.
 func TestRules(t *testing.T) {
 	run := func(seed int64) (ok bool) {
 		rng := rand.New(rand.NewSource(seed))
-		r := newRig(someCold, rng)
+		r := newRig(testCold, rng)
 		r.maxServers = []int{9, 9, 200}[uint64(seed)%3]
 		for i := 0; i < 600 && r.failure == ""; i++ {
 			r.step(rng)
@@ -46,9 +49,9 @@
 	}
 }
 
-// TestFinalAnswer lets each kind of session fail in each way.
+// TestFinalAnswer: a session that may have run is retried and refused only if that does no harm, else it is aborted.
 func TestFinalAnswer(t *testing.T) {
-	const none, refused, tornDown = "", "refused", "torn down"
+	const none, refused, aborted = "", "refused", "aborted"
 	for _, c := range []struct {
 		listener ListenerID
 		outcome  Outcome
@@ -56,16 +59,16 @@
 		answer   string
 	}{
 		{0, Failed, 4, refused}, {0, Unreachable, 4, refused}, {0, TimedOut, 4, refused},
-		{1, Failed, 1, tornDown}, {1, ConnectionLost, 1, tornDown}, {1, TimedOut, 1, tornDown},
+		{1, Failed, 1, aborted}, {1, ConnectionLost, 1, aborted}, {1, TimedOut, 1, aborted},
 		{1, ServerFull, 4, refused},
-		{2, Failed, 4, refused}, {3, Failed, 2, tornDown}, {3, ServerFull, 4, refused}, {4, Cancelled, 2, tornDown},
+		{2, Failed, 4, refused}, {3, Failed, 2, aborted}, {3, ServerFull, 4, refused}, {4, Cancelled, 2, aborted},
 		{1, Accepted, 1, none},
 	} {
-		r := fleet(6)
-		r.b.recentOpened = 9 // an hour in which dials are answered
+		r := newFleet(6)
+		r.balancer.recentOpened = 9 // so that no dial is shed
 		s := r.arrive(c.listener, 9, 9, 0)
 		for s.dialing != 0 {
-			r.settle(s, c.outcome)
+			r.endDial(s, c.outcome)
 		}
 		if s.dials != c.dials || s.answer != c.answer || r.failure != "" {
 			t.Errorf("listener %d, outcome %d: %d dials, %q, want %d, %q (%s)", c.listener, c.outcome,
@@ -74,12 +77,13 @@
 	}
 }
 
-// TestMidFlow: packets of an open session go to the top score even where it has no room.
+// TestMidFlow: a session that is already open at a server is sent to the top score, even if that has no room and does not
+// answer.
 func TestMidFlow(t *testing.T) {
-	r := fleet(5)
+	r := newFleet(5)
 	top := r.topServer(77)
 	top.loadLimit, top.carriedLoad, top.unansweredDials, top.avoidUntil = 1, 2, 1, sec
-	r.b.PlaceSession(0, Arrival{ID: 900, TimeLeft: sec, Client: 77, MidFlow: true})
+	r.balancer.PlaceSession(0, Arrival{ID: 900, TimeLeft: sec, Client: 77, MidFlow: true})
 	if r.sessions[900] != nil || len(r.dialsTo[top.ID]) != 1 {
 		t.Error("the mid-flow session was not sent to its holder")
 	}
--- a/choice/types.go
+++ b/choice/types.go
@@ -11,7 +11,7 @@
 	ZoneID     uint16
 	CellID     uint16
 	ModelID    uint16 // hardware model of a server
-	TimerToken uint32 // tells timers apart
+	TimerToken uint32 // identifies a timer
 	// Key is the hash of a client's or a group's name, by which sessions are placed; 0 if there is none.
 	Key uint64
 )
@@ -143,8 +143,8 @@
 // Entry is the entry of one server in the list.
 type Entry struct {
 	ID ServerID
-	// Size is the listed capacity, in the same unit for all servers, such as cores. It does not tell how fast these are.
-	// 0 if the list does not say; it counts as 1 then.
+	// Size is the listed capacity, in the same unit for all servers, such as cores. It does not say how fast these cores
+	// are. 0 if the list does not say; it counts as 1 then.
 	Size       float64
 	Zone       ZoneID
 	Cell       CellID
