--- a/internal/counts/counts.go
+++ b/internal/counts/counts.go
@@ -169,7 +169,7 @@
 
 // Write prints the counts as a table, one row per event and server and one column per second, and the list revisions.
 func (f *Fleet) Write(out io.Writer) {
-	fmt.Fprintf(out, "%d proxies, %.1f s, %d lines that are not log lines\n", f.proxies, f.lastTime.Sub(f.firstTime).Seconds(), f.Skipped)
+	fmt.Fprintf(out, "%d proxies, %.1f s, %d lines that are no log lines\n", f.proxies, f.lastTime.Sub(f.firstTime).Seconds(), f.Skipped)
 	printRow := func(name string, counts []int) {
 		fmt.Fprintf(out, "%-14s", name)
 		for _, n := range counts {
@@ -185,11 +185,11 @@
 	for _, event := range slices.Sorted(maps.Keys(f.eventTimes)) {
 		printRow(event, f.PerSecond(event))
 	}
-	fmt.Fprintln(out, "\ndials by server, ended dials only")
+	fmt.Fprintln(out, "\ndials by server, of those that have ended")
 	for _, server := range f.Servers() {
 		printRow(server, f.DialsPerSecond(server))
 	}
-	fmt.Fprintln(out, "\nlists: when the first proxy had the revision, and how much later half and all had it or a newer one")
+	fmt.Fprintln(out, "\nlists: when the first proxy had it, how much later half and all had it or a newer one")
 	for _, lateness := range f.ListLateness() {
 		fmt.Fprintf(out, "revision %-6d %7.2f s  half %s  all %s  never %d\n", lateness.Revision, lateness.First.Seconds(), formatDelay(lateness.Half),
 			formatDelay(lateness.All), lateness.Never)
