--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -9,44 +9,46 @@
 	"time"
 )
 
-// call is one call of a proxy, answered by the test itself, byte by byte if it likes.
-type call struct {
+// request is one request of the watcher. The test itself writes the response, byte by byte if it needs to.
+type request struct {
 	net.Conn
-	query string
+	line string // the request line, without the HTTP version
 }
 
-// watcher calls on the loop, as the proxy does.
+// watcher makes its calls on the event loop, as the proxy does.
 type watcher struct {
 	*Watcher
 	loop chan func()
 }
 
-func (w watcher) Watch(after uint64) { w.loop <- func() { w.Watcher.Watch(after) } }
-func (w watcher) Again(after uint64) { w.loop <- func() { w.Watcher.Again(after) } }
-func (w watcher) Drop()              { w.loop <- w.Watcher.Drop }
-func (w watcher) Move(to string)     { w.loop <- func() { w.Watcher.Move(to) } }
+func (w watcher) Watch(after uint64)         { w.loop <- func() { w.Watcher.Watch(after) } }
+func (w watcher) ReplaceSilent(after uint64) { w.loop <- func() { w.Watcher.ReplaceSilent(after) } }
+func (w watcher) Stop()                      { w.loop <- w.Watcher.Stop }
+func (w watcher) SetAddress(address string)  { w.loop <- func() { w.Watcher.SetAddress(address) } }
 
-const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const responseHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-func (c call) chunk(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
+// sendChunk sends text as one chunk of the response's body.
+func (r request) sendChunk(text string) { fmt.Fprintf(r, "%x\r\n%s\r\n", len(text), text) }
 
-// watched starts a watcher whose lists and failures come as words, and shows the calls that it makes.
-func watched(t *testing.T, answer time.Duration) (w watcher, calls chan call, told chan string) {
+// startWatcher returns a watcher that has no watch yet, the requests that it makes, and its lists and failures as text:
+// "list REVISION" or "failed: ERROR".
+func startWatcher(t *testing.T, startTimeout time.Duration) (w watcher, requests chan request, reports chan string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var taken []net.Conn // kept until the test's end: one that nothing holds is closed when its memory is collected
+	var accepted []net.Conn // referenced until the test ends: the garbage collector closes an unreferenced connection
 	var mu sync.Mutex
 	t.Cleanup(func() {
 		l.Close()
 		mu.Lock()
 		defer mu.Unlock()
-		for _, conn := range taken {
+		for _, conn := range accepted {
 			conn.Close()
 		}
 	})
-	calls, told = make(chan call, 8), make(chan string, 64)
+	requests, reports = make(chan request, 8), make(chan string, 64)
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -54,12 +56,12 @@
 				return
 			}
 			mu.Lock()
-			taken = append(taken, conn)
+			accepted = append(accepted, conn)
 			mu.Unlock()
 			buf := make([]byte, 4096)
 			n, _ := conn.Read(buf)
-			query, _, _ := strings.Cut(string(buf[:n]), " HTTP")
-			calls <- call{conn, query}
+			line, _, _ := strings.Cut(string(buf[:n]), " HTTP")
+			requests <- request{conn, line}
 		}
 	}()
 	loop := make(chan func(), 64)
@@ -68,171 +70,175 @@
 			call()
 		}
 	}()
-	w.Watcher, w.loop = New(l.Addr().String(), time.Second, answer, func(call func()) { loop <- call },
-		func(l List) { told <- fmt.Sprint("list ", l.Revision) }, func(err error) { told <- fmt.Sprint("failed: ", err) }), loop
-	return w, calls, told
+	w.Watcher, w.loop = New(l.Addr().String(), time.Second, startTimeout, func(call func()) { loop <- call },
+		func(l List) { reports <- fmt.Sprint("list ", l.Revision) }, func(err error) { reports <- fmt.Sprint("failed: ", err) }), loop
+	return w, requests, reports
 }
 
-func hear(t *testing.T, told chan string, want string, within time.Duration) {
+// expectReport expects the watcher's next list or failure within a time. "failed" stands for any failure.
+func expectReport(t *testing.T, reports chan string, want string, within time.Duration) {
 	t.Helper()
 	select {
-	case got := <-told:
+	case got := <-reports:
 		if got != want && !(want == "failed" && strings.HasPrefix(got, want)) {
-			t.Errorf("%s, want %s", got, want)
+			t.Errorf("got %q, want %q", got, want)
 		}
 	case <-time.After(within):
-		t.Errorf("nothing within %v, want %s", within, want)
+		t.Errorf("nothing reported within %v, want %q", within, want)
 	}
 }
 
-// TestForms: a list may stand on one line or on many, come in pieces of one byte, two in one segment, or be large.
-func TestForms(t *testing.T) {
+// TestListFraming checks that a list may stand on one line or on several, arrive byte by byte, share a chunk with another
+// list, or be large, and that one of over maxListBytes is a failure.
+func TestListFraming(t *testing.T) {
 	indented := "{\n  \"revision\": %d,\n  \"complete\": true,\n\n  \"members\": [\n    {\"id\": \"s-1\", \"phase\": \"gone\"}\n  ]\n}\n"
 	var many strings.Builder
 	for i := range 20000 {
 		fmt.Fprintf(&many, `%s{"id":"s-%d","host_port":"10.0.0.1:80","phase":"ready","size":1}`, strings.Repeat(",", min(i, 1)), i)
 	}
-	w, calls, told := watched(t, time.Second)
+	w, requests, reports := startWatcher(t, time.Second)
 	w.Watch(0)
-	c := <-calls
-	fmt.Fprint(c, head)
-	c.chunk(fmt.Sprintf(indented, 1))
-	hear(t, told, "list 1", time.Second)
+	r := <-requests
+	fmt.Fprint(r, responseHeader)
+	r.sendChunk(fmt.Sprintf(indented, 1))
+	expectReport(t, reports, "list 1", time.Second)
 	for _, b := range []byte(fmt.Sprintf(indented, 2)) {
-		c.chunk(string(b))
+		r.sendChunk(string(b))
 	}
-	hear(t, told, "list 2", time.Second)
-	c.chunk("{\"revision\":3}\n{\"revision\":4,\"complete\":false}\n\n")
-	hear(t, told, "list 3", time.Second)
-	hear(t, told, "list 4", time.Second)
-	c.chunk(`{"revision":5,"complete":true,"members":[` + many.String() + "]}\n")
-	hear(t, told, "list 5", 5*time.Second)
-	c.chunk(`{"revision":6,"members":[` + strings.Repeat(" ", 5<<20))
-	hear(t, told, "failed", 5*time.Second)
+	expectReport(t, reports, "list 2", time.Second)
+	r.sendChunk("{\"revision\":3}\n{\"revision\":4,\"complete\":false}\n\n")
+	expectReport(t, reports, "list 3", time.Second)
+	expectReport(t, reports, "list 4", time.Second)
+	r.sendChunk(`{"revision":5,"complete":true,"members":[` + many.String() + "]}\n")
+	expectReport(t, reports, "list 5", 5*time.Second)
+	r.sendChunk(`{"revision":6,"members":[` + strings.Repeat(" ", 5<<20))
+	expectReport(t, reports, "failed", 5*time.Second)
 }
 
-// TestSilent: a watch that falls silent, wherever that is, is known to be dead in time for the next one, and that one,
-// which may say nothing at all, in time for a third, before what is missed counts as told: 6 s by the protocol, whatever
-// the settings give for an answer. (That a whole proxy keeps this, its pauses between calls too, is TestSilentWatch's.)
+// TestSilent guards against a list that is older than StalenessLimit: a watch that stops receiving data, at whatever point,
+// fails early enough for a replacement, and a replacement that doesn't start fails early enough for a third watch to start
+// within the limit, whatever the start timeout. TestSilentWatch checks the same of a whole proxy, with its pauses between
+// watches.
 func TestSilent(t *testing.T) {
-	for name, say := range map[string]func(c call){
-		"after the header": func(c call) { fmt.Fprint(c, head) },
-		"after a list": func(c call) {
-			fmt.Fprint(c, head)
-			c.chunk("{\"revision\":1}\n")
+	for name, respond := range map[string]func(r request){
+		"after the header": func(r request) { fmt.Fprint(r, responseHeader) },
+		"after a list": func(r request) {
+			fmt.Fprint(r, responseHeader)
+			r.sendChunk("{\"revision\":1}\n")
 		},
-		"within a line": func(c call) {
-			fmt.Fprint(c, head)
-			c.chunk("{\"revision\":1}\n{\"revision\":2,")
+		"within a line": func(r request) {
+			fmt.Fprint(r, responseHeader)
+			r.sendChunk("{\"revision\":1}\n{\"revision\":2,")
 		},
 	} {
-		for second, half := range map[string]string{"no word": "", "half a header": head[:20], "a header alone": head} {
+		for second, response := range map[string]string{"no word": "", "half a header": responseHeader[:20], "a header alone": responseHeader} {
 			t.Run(name+", then "+second, func(t *testing.T) {
 				t.Parallel()
-				w, calls, told := watched(t, time.Minute)
+				w, requests, reports := startWatcher(t, time.Minute)
 				began := time.Now()
 				w.Watch(0)
-				say(<-calls)
+				respond(<-requests)
 				if name != "after the header" {
-					hear(t, told, "list 1", time.Second)
+					expectReport(t, reports, "list 1", time.Second)
 				}
-				hear(t, told, "failed: "+ErrSilent.Error(), 4*time.Second)
-				w.Again(1)
-				fmt.Fprint(<-calls, half)
-				hear(t, told, "failed: "+ErrUnopened.Error(), 4*time.Second)
-				if took := time.Since(began); took > SilenceLimit-300*time.Millisecond {
-					t.Errorf("two dead watches take %v", took)
+				expectReport(t, reports, "failed: "+ErrHeartbeatTimeout.Error(), 4*time.Second)
+				w.ReplaceSilent(1)
+				fmt.Fprint(<-requests, response)
+				expectReport(t, reports, "failed: "+ErrReplacementTimeout.Error(), 4*time.Second)
+				if took := time.Since(began); took > StalenessLimit-300*time.Millisecond {
+					t.Errorf("two dead watches took %v, want at most 300 ms less than %v", took, StalenessLimit)
 				}
 			})
 		}
 	}
 }
 
-// TestSlowToBegin: a watch that follows none that has fallen silent may wait its turn for as long as it is given, and
-// no longer.
+// TestSlowToBegin checks that a watch that replaces no silent one may take as long to start as the start timeout allows,
+// and no longer.
 func TestSlowToBegin(t *testing.T) {
 	t.Parallel()
-	const answer = 3200 * time.Millisecond
-	w, calls, told := watched(t, answer)
+	const startTimeout = 3200 * time.Millisecond
+	w, requests, reports := startWatcher(t, startTimeout)
 	w.Watch(0)
-	c := <-calls
-	time.Sleep(answer - 200*time.Millisecond)
-	fmt.Fprint(c, head)
-	c.chunk("{\"revision\":1}\n")
-	hear(t, told, "list 1", time.Second)
+	r := <-requests
+	time.Sleep(startTimeout - 200*time.Millisecond)
+	fmt.Fprint(r, responseHeader)
+	r.sendChunk("{\"revision\":1}\n")
+	expectReport(t, reports, "list 1", time.Second)
 	w.Watch(1)
-	<-calls
+	<-requests
 	began := time.Now()
-	hear(t, told, "failed: "+ErrUnanswered.Error(), answer+time.Second)
-	if took := time.Since(began); took < answer-100*time.Millisecond {
-		t.Errorf("given up after %v", took)
+	expectReport(t, reports, "failed: "+ErrStartTimeout.Error(), startTimeout+time.Second)
+	if took := time.Since(began); took < startTimeout-100*time.Millisecond {
+		t.Errorf("the watch failed after %v, before the start timeout of %v", took, startTimeout)
 	}
 }
 
-// TestBeats: empty lines keep a watch alive past the time in which silence would end it.
+// TestBeats checks that heartbeats (empty lines) keep a watch alive for longer than heartbeatTimeout.
 func TestBeats(t *testing.T) {
 	t.Parallel()
-	w, calls, told := watched(t, time.Second)
+	w, requests, reports := startWatcher(t, time.Second)
 	w.Watch(0)
-	c := <-calls
-	fmt.Fprint(c, head)
+	r := <-requests
+	fmt.Fprint(r, responseHeader)
 	for range 3 {
 		time.Sleep(Heartbeat)
-		c.chunk("\n")
+		r.sendChunk("\n")
 	}
-	c.chunk("{\"revision\":7}\n")
-	hear(t, told, "list 7", time.Second)
+	r.sendChunk("{\"revision\":7}\n")
+	expectReport(t, reports, "list 7", time.Second)
 }
 
-// TestCut: a watch reset with a line half read tells nothing of it, and the next one asks for what came after.
-func TestCut(t *testing.T) {
-	w, calls, told := watched(t, time.Second)
+// TestResetWithinLine checks that a watch that is reset in the middle of a list doesn't report that list, and that the next
+// watch asks for the changes after the last complete one.
+func TestResetWithinLine(t *testing.T) {
+	w, requests, reports := startWatcher(t, time.Second)
 	w.Watch(3)
-	c := <-calls
-	fmt.Fprint(c, head)
-	c.chunk("{\"revision\":4}\n{\"revision\":5")
-	hear(t, told, "list 4", time.Second)
-	c.Conn.(*net.TCPConn).SetLinger(0)
-	c.Close()
-	hear(t, told, "failed", time.Second)
+	r := <-requests
+	fmt.Fprint(r, responseHeader)
+	r.sendChunk("{\"revision\":4}\n{\"revision\":5")
+	expectReport(t, reports, "list 4", time.Second)
+	r.Conn.(*net.TCPConn).SetLinger(0)
+	r.Close()
+	expectReport(t, reports, "failed", time.Second)
 	w.Watch(4)
-	if c := <-calls; !strings.HasSuffix(c.query, "after=4") {
-		t.Error(c.query)
+	if r := <-requests; !strings.HasSuffix(r.line, "after=4") {
+		t.Errorf("request %q, want one for changes after revision 4", r.line)
 	}
 }
 
-// TestMoved: discovery moves while a call is in flight and again at once: one watch is left, and of the others nothing
-// is told. A watch may be dropped before there is one.
+// TestMoved checks that one watch is left when discovery's address changes several times at once while requests are in
+// flight, and that nothing is reported of the other watches. Stop may be called before there is a watch.
 func TestMoved(t *testing.T) {
-	w, calls, told := watched(t, time.Second)
-	w.Drop()
+	w, requests, reports := startWatcher(t, time.Second)
+	w.Stop()
 	address := w.address
 	for range 3 {
-		w.Move(address)
+		w.SetAddress(address)
 		w.Watch(0)
 	}
-	var open []call
+	var open []request
 	for range 3 {
 		select {
-		case c := <-calls:
-			open = append(open, c)
-		case <-time.After(300 * time.Millisecond): // the first ones may be given up before they connect
+		case r := <-requests:
+			open = append(open, r)
+		case <-time.After(300 * time.Millisecond): // the first ones may be cancelled before they connect
 		}
 	}
-	for i, c := range open {
-		fmt.Fprint(c, head)
-		c.chunk(fmt.Sprintf("{\"revision\":%d}\n", 10+i))
+	for i, r := range open {
+		fmt.Fprint(r, responseHeader)
+		r.sendChunk(fmt.Sprintf("{\"revision\":%d}\n", 10+i))
 	}
-	heard := []string{}
+	got := []string{}
 	for wait := time.After(500 * time.Millisecond); wait != nil; {
 		select {
-		case word := <-told:
-			heard = append(heard, word)
+		case report := <-reports:
+			got = append(got, report)
 		case <-wait:
 			wait = nil
 		}
 	}
-	if len(heard) != 1 || !strings.HasPrefix(heard[0], "list") {
-		t.Errorf("%v", heard)
+	if len(got) != 1 || !strings.HasPrefix(got[0], "list") {
+		t.Errorf("got %q, want one list", got)
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,6 @@
-// Package discovery follows the list of servers over HTTP.
+// Package discovery watches the list of servers that the discovery service serves over HTTP. It keeps at most one
+// streaming request (a watch) open, parses and validates each list on it, and hands lists and failures to the proxy's
+// event loop. It doesn't keep the servers and doesn't decide when to retry: its user starts the next watch.
 package discovery
 
 import (
@@ -18,55 +20,62 @@
 	"chalkferry/internal/failure"
 )
 
-// Heartbeat is how often a watch with no changes brings an empty line.
+// Heartbeat is the interval at which discovery sends an empty line on a watch that has no changes.
 const Heartbeat = 2 * time.Second
 
-// SilenceLimit is, by the protocol, how long after a watch has fallen silent what it misses counts as known.
-const SilenceLimit = 6 * time.Second
+// StalenessLimit is the protocol's bound on the age of the proxy's list: a change counts as known to the proxy this long
+// after its watch stopped receiving data, whether or not a new watch has started by then.
+const StalenessLimit = 6 * time.Second
 
 const (
-	silence      = Heartbeat * 3 / 2                // without a byte: the watch is dead
-	opening      = (SilenceLimit - silence) * 5 / 6 // for the next one to begin; the rest is for one more, as that may say nothing either
+	// heartbeatTimeout is the time without a received byte after which a watch counts as dead.
+	heartbeatTimeout = Heartbeat * 3 / 2
+	// replacementTimeout is how long the watch that replaces a dead one may take to start. What remains of StalenessLimit
+	// is for one more watch, as discovery may not answer the replacement either.
+	replacementTimeout = (StalenessLimit - heartbeatTimeout) * 5 / 6
+	// maxListBytes bounds the encoded size of one list, and so the memory that a faulty discovery can take up.
 	maxListBytes = 4 << 20
 )
 
-// What a watch may fail by that has others follow at once: until the next one begins, what has been missed is not known,
-// and counts as told soon.
+// Failures after which the caller starts the next watch without a pause: changes that were missed stay unknown until that
+// watch starts, and count as known to the proxy once StalenessLimit has passed.
 var (
-	ErrSilent   = errors.New("the watch fell silent")
-	ErrUnopened = errors.New("the watch in place of a silent one did not begin in time")
+	// ErrHeartbeatTimeout is the failure of a watch that received no byte for longer than a heartbeat may take.
+	ErrHeartbeatTimeout = errors.New("no data from discovery, not even a heartbeat: the watch counts as dead")
+	// ErrReplacementTimeout is the failure of a watch of ReplaceSilent that did not start in time.
+	ErrReplacementTimeout = errors.New("the watch that replaces a dead one did not start in time")
 )
 
-// ErrUnanswered is of any other call that had no answer for as long as it may wait.
-var ErrUnanswered = errors.New("the watch did not begin in time")
+// ErrStartTimeout is the failure of a watch of Watch that did not start within the start timeout.
+var ErrStartTimeout = errors.New("the watch did not start in time")
 
 // Server is one entry of the list.
 type Server struct {
-	ID        string  `json:"id"`
-	HostPort  string  `json:"host_port"`
-	Zone      string  `json:"locality"`
-	Model     string  `json:"flavor"`
-	Cell      uint16  `json:"cell"`
-	Phase     string  `json:"phase"`
-	Size      float64 `json:"size"`
-	UpSinceMs float64 `json:"up_since_ms"`
+	ID        string  `json:"id"`          // unique within the list
+	HostPort  string  `json:"host_port"`   // IP address and port; may be empty for a server that is gone
+	Zone      string  `json:"locality"`    // availability zone
+	Model     string  `json:"flavor"`      // hardware model
+	Cell      uint16  `json:"cell"`        // cell number; the servers of a cell may share the detection of repeated sessions
+	Phase     string  `json:"phase"`       // Ready, Draining or Gone
+	Size      float64 `json:"size"`        // capacity relative to other servers; 0 if unknown
+	UpSinceMs float64 `json:"up_since_ms"` // start time in Unix milliseconds; 0 if unknown
 }
 
-// Phases of a server.
+// Values of Server.Phase.
 const (
-	Ready    = "ready"
-	Draining = "draining"
-	Gone     = "gone"
+	Ready    = "ready"    // accepts new sessions
+	Draining = "draining" // keeps its sessions and accepts no new ones
+	Gone     = "gone"     // has left service
 )
 
-// List is one answer of discovery.
+// List is one message of discovery: the complete list of servers, or the entries that changed.
 type List struct {
-	Revision uint64   `json:"revision"`
-	Complete bool     `json:"complete"`
+	Revision uint64   `json:"revision"` // of the list after this message; it never decreases
+	Complete bool     `json:"complete"` // whether servers that are not in Servers are gone
 	Servers  []Server `json:"members"`
 }
 
-// Parse reads one list. A single bad entry spoils it, as the rest can't be trusted then.
+// Parse decodes and validates one list. A single invalid entry makes it fail, as the other entries can't be trusted then.
 func Parse(text []byte) (List, error) {
 	var list List
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -75,15 +84,15 @@
 	seen := make(map[string]bool, len(list.Servers))
 	for _, s := range list.Servers {
 		if _, err := netip.ParseAddrPort(s.HostPort); err != nil && s.Phase != Gone {
-			return List{}, fmt.Errorf("server %q has no address: %q", s.ID, s.HostPort)
+			return List{}, fmt.Errorf("server %q has an invalid address %q", s.ID, s.HostPort)
 		}
 		switch {
 		case s.ID == "" || seen[s.ID]:
-			return List{}, fmt.Errorf("server %q is listed without an id or twice", s.ID)
+			return List{}, fmt.Errorf("server %q has an empty or duplicate id", s.ID)
 		case s.Phase != Ready && s.Phase != Draining && s.Phase != Gone:
-			return List{}, fmt.Errorf("server %q is in unknown phase %q", s.ID, s.Phase)
+			return List{}, fmt.Errorf("server %q has unknown phase %q", s.ID, s.Phase)
 		case !(s.Size >= 0) || math.IsInf(s.Size, 0):
-			return List{}, fmt.Errorf("server %q has size %v", s.ID, s.Size)
+			return List{}, fmt.Errorf("server %q has invalid size %v", s.ID, s.Size)
 		case !(s.UpSinceMs >= 0 && s.UpSinceMs < 1e15):
 			return List{}, fmt.Errorf("server %q started at %v", s.ID, s.UpSinceMs)
 		}
@@ -92,39 +101,42 @@
 	return list, nil
 }
 
-// Watcher holds at most one watch.
+// Watcher keeps at most one watch open and reports its lists and its failure on the event loop. Its methods must be called
+// on that loop, except IsDrained.
 type Watcher struct {
-	address string
-	client  *http.Client
-	execute func(func()) // on the event loop
-	list    func(List)
-	failed  func(error)
-	cancel  context.CancelCauseFunc
-	answer  time.Duration // for a watch to begin
-	watch   int
-	conn    atomic.Pointer[watchConn] // of the watch that has begun, nil for none
+	address      string // host and port of discovery
+	client       *http.Client
+	execute      func(func()) // schedules a call on the event loop
+	onList       func(List)
+	onFailure    func(error)
+	cancel       context.CancelCauseFunc   // ends the current watch; nil before the first one
+	startTimeout time.Duration             // for a watch to be answered
+	watchNumber  int                       // of the current watch; calls from watches with another number are dropped
+	activeConn   atomic.Pointer[watchConn] // of the watch that has started, nil for none
 }
 
-// New makes a watcher that tells lists and failures on the event loop; answer is how long a watch may take to begin.
-func New(address string, connect, answer time.Duration, execute func(func()), list func(List),
-	failed func(error)) *Watcher {
-	w := &Watcher{address: address, execute: execute, list: list, failed: failed}
-	w.Change(connect, answer)
+// New returns a watcher of the discovery service at address that has no watch yet. It calls onList and onFailure on the
+// event loop, by way of execute. connectTimeout bounds the connection attempts of a watch, startTimeout the time until
+// discovery answers it.
+func New(address string, connectTimeout, startTimeout time.Duration, execute func(func()), onList func(List),
+	onFailure func(error)) *Watcher {
+	w := &Watcher{address: address, execute: execute, onList: onList, onFailure: onFailure}
+	w.SetTimeouts(connectTimeout, startTimeout)
 	return w
 }
 
-// Change sets other times for the watches to come.
-func (w *Watcher) Change(connect, answer time.Duration) {
-	w.answer = answer
-	w.client = &http.Client{Transport: &http.Transport{DialContext: connector(connect),
+// SetTimeouts changes the timeouts of the watches started from now on.
+func (w *Watcher) SetTimeouts(connectTimeout, startTimeout time.Duration) {
+	w.startTimeout = startTimeout
+	w.client = &http.Client{Transport: &http.Transport{DialContext: dialer(connectTimeout),
 		DisableKeepAlives: true, DisableCompression: true}}
 }
 
-// connector connects within a time. What fails for a moment is tried again: a call that fails is followed by a pause, in
-// which changes count as told.
-func connector(within time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
+// dialer returns a dial function with a timeout. It retries transient failures within that timeout: a watch that fails is
+// followed by a pause, and during the pause changes count as known to the proxy.
+func dialer(timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (conn net.Conn, err error) {
-		ctx, cancel := context.WithTimeout(ctx, within)
+		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		err = failure.Retry(ctx, failure.Connect, nil, func() (err error) {
 			conn, err = new(net.Dialer).DialContext(ctx, network, address)
@@ -137,36 +149,38 @@
 	}
 }
 
-// Watch starts a watch for what changed after a revision, in place of the one before.
+// Watch starts a watch for the changes after a revision and ends the current watch. It fails with ErrStartTimeout if
+// discovery doesn't answer within the start timeout.
 func (w *Watcher) Watch(after uint64) {
-	w.start(after, deadline{within: w.answer, missed: ErrUnanswered})
+	w.startWatch(after, startDeadline{timeout: w.startTimeout, timeoutErr: ErrStartTimeout})
 }
 
-// Again does so for one that has fallen silent, and fails with ErrUnopened early enough for one more to begin before
-// what is missed counts as told, however long a watch may take otherwise.
-func (w *Watcher) Again(after uint64) {
-	w.start(after, deadline{within: opening, body: true, missed: ErrUnopened})
+// ReplaceSilent starts a watch in place of one that failed with ErrHeartbeatTimeout. Whatever the start timeout, it fails
+// with ErrReplacementTimeout early enough for one more watch to start before StalenessLimit has passed.
+func (w *Watcher) ReplaceSilent(after uint64) {
+	w.startWatch(after, startDeadline{timeout: replacementTimeout, needsBody: true, timeoutErr: ErrReplacementTimeout})
 }
 
-// deadline is when a watch must have begun.
-type deadline struct {
-	within time.Duration
-	body   bool  // by its first byte after the header: a heartbeat comes well within the opening
-	missed error // what it fails with otherwise
+// startDeadline says by when a watch must have started.
+type startDeadline struct {
+	timeout time.Duration
+	// needsBody requires a byte of the body, not only the response header. A heartbeat is due well within replacementTimeout.
+	needsBody  bool
+	timeoutErr error // the failure of a watch that misses the deadline
 }
 
-// start starts a watch that fails unless it begins in time.
-func (w *Watcher) start(after uint64, begin deadline) {
+// startWatch replaces the current watch with one for the changes after a revision, which fails unless it starts in time.
+func (w *Watcher) startWatch(after uint64, deadline startDeadline) {
 	if w.cancel != nil {
 		w.cancel(nil)
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	w.cancel = cancel
-	w.watch++
-	mine := w.watch
-	tell := func(call func()) {
+	w.watchNumber++
+	number := w.watchNumber
+	executeIfCurrent := func(call func()) {
 		w.execute(func() {
-			if mine == w.watch { // words of an earlier watch no longer count
+			if number == w.watchNumber { // lists and failures of replaced or stopped watches are dropped
 				call()
 			}
 		})
@@ -175,37 +189,39 @@
 	client := w.client
 	go func() {
 		defer cancel(nil)
-		err := w.follow(ctx, cancel, client, url, begin, tell)
-		if why := context.Cause(ctx); why != nil {
-			err = why
+		err := w.receiveLists(ctx, cancel, client, url, deadline, executeIfCurrent)
+		if cause := context.Cause(ctx); cause != nil {
+			err = cause
 		}
-		tell(func() { w.failed(err) })
+		executeIfCurrent(func() { w.onFailure(err) })
 	}()
 }
 
-// Move names another address, for the watches to come.
-func (w *Watcher) Move(address string) { w.address = address }
+// SetAddress sets the address of discovery for the watches started from now on.
+func (w *Watcher) SetAddress(address string) { w.address = address }
 
-// IsDrained reports whether all that has come on the watch was read and handed to the event loop, as tasks that may still wait
-// there. It is true where there is no watch.
+// IsDrained reports whether all data received on the watch was read and handed to the event loop, where calls for it may
+// still be queued. It is true if there is no watch. It may be called from any goroutine.
 func (w *Watcher) IsDrained() bool {
-	conn := w.conn.Load()
+	conn := w.activeConn.Load()
 	return conn == nil || conn.isDrained()
 }
 
-// Drop ends the watch at hand; nothing of it is told any more.
-func (w *Watcher) Drop() {
-	w.watch++
+// Stop ends the current watch, if any. None of its lists and failures are reported any more.
+func (w *Watcher) Stop() {
+	w.watchNumber++
 	if w.cancel != nil {
 		w.cancel(nil)
 	}
 }
 
-func (w *Watcher) follow(ctx context.Context, cancel context.CancelCauseFunc, client *http.Client, url string,
-	begin deadline, tell func(func())) error {
-	// Both guard against a machine that is cut off, or takes calls and says nothing.
-	begins := time.AfterFunc(begin.within, func() { cancel(begin.missed) })
-	defer begins.Stop()
+// receiveLists sends the request of a watch and reports each list that arrives until the watch fails. It always returns
+// an error; if it cancelled the context itself, the failure is the context's cause instead.
+func (w *Watcher) receiveLists(ctx context.Context, cancel context.CancelCauseFunc, client *http.Client, url string,
+	deadline startDeadline, executeIfCurrent func(func())) error {
+	// startTimer and silenceTimer guard against a machine that is cut off, or that accepts requests and sends nothing.
+	startTimer := time.AfterFunc(deadline.timeout, func() { cancel(deadline.timeoutErr) })
+	defer startTimer.Stop()
 	var conn *watchConn
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		conn, _ = info.Conn.(*watchConn)
@@ -214,61 +230,63 @@
 	if err != nil {
 		return err
 	}
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("discovery answers %s", answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("discovery answers %s", response.Status)
 	}
-	if !begin.body {
-		begins.Stop()
+	if !deadline.needsBody {
+		startTimer.Stop()
 	}
-	w.conn.Store(conn)
-	defer w.conn.CompareAndSwap(conn, nil)
-	quiet := time.AfterFunc(silence, func() {
-		if conn == nil || !conn.hasUnread() { // else this process stood still, and not the watch
-			cancel(ErrSilent)
+	w.activeConn.Store(conn)
+	defer w.activeConn.CompareAndSwap(conn, nil)
+	silenceTimer := time.AfterFunc(heartbeatTimeout, func() {
+		// With unread data it is this process that stood still, and not discovery.
+		if conn == nil || !conn.hasUnread() {
+			cancel(ErrHeartbeatTimeout)
 		}
 	})
-	defer quiet.Stop()
-	body := &pulse{from: answer.Body, beat: func() {
-		begins.Stop()
-		quiet.Reset(silence)
+	defer silenceTimer.Stop()
+	body := &listReader{source: response.Body, onData: func() {
+		startTimer.Stop()
+		silenceTimer.Reset(heartbeatTimeout)
 	}}
-	lists := json.NewDecoder(body) // an object may stand on one line or on many, or come in any pieces
+	decoder := json.NewDecoder(body) // accepts a list on one line or on several, in pieces of any size
 	for {
 		var text json.RawMessage
-		if err := lists.Decode(&text); errors.Is(err, io.EOF) {
+		if err := decoder.Decode(&text); errors.Is(err, io.EOF) {
 			return errors.New("the watch ended")
 		} else if err != nil {
-			return fmt.Errorf("the watch broke: %w", err)
+			return fmt.Errorf("reading the watch: %w", err)
 		}
-		body.read = 0
+		body.bytesSinceList = 0
 		list, err := Parse(text)
 		if err != nil {
 			return err
 		}
-		tell(func() { w.list(list) })
+		executeIfCurrent(func() { w.onList(list) })
 	}
 }
 
-// pulse tells of each read that brings something, and guards against a list without end.
-type pulse struct {
-	from io.Reader
-	beat func()
-	read int // since the last list
+// listReader reads the body of a watch. It calls onData for each read that returns data, and fails once more than
+// maxListBytes have come since the last complete list.
+type listReader struct {
+	source         io.Reader
+	onData         func()
+	bytesSinceList int
 }
 
-func (p *pulse) Read(to []byte) (int, error) {
-	if p.read > maxListBytes {
-		return 0, fmt.Errorf("a list of over %d bytes", maxListBytes)
+func (r *listReader) Read(buffer []byte) (int, error) {
+	if r.bytesSinceList > maxListBytes {
+		return 0, fmt.Errorf("list exceeds %d bytes", maxListBytes)
 	}
-	n, err := p.from.Read(to)
+	n, err := r.source.Read(buffer)
 	if n > 0 {
-		p.read += n
-		p.beat()
+		r.bytesSinceList += n
+		r.onData()
 	}
 	return n, err
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,7 +13,7 @@
 		"locality":"a","flavor":"m2","cell":3,"phase":"ready","size":1.5,"up_since_ms":12,"new":1}]}`))
 	want := Server{ID: "s-1", HostPort: "127.0.0.1:80", Zone: "a", Model: "m2", Cell: 3, Phase: Ready, Size: 1.5, UpSinceMs: 12}
 	if err != nil || list.Revision != 41 || !list.Complete || len(list.Servers) != 1 || list.Servers[0] != want {
-		t.Errorf("%+v, %v", list, err)
+		t.Errorf("got %+v, %v; want one server %+v", list, err, want)
 	}
 	for _, bad := range []string{``, `[]`, `{"revision":-1}`, `{"revision":1,"members":[{}]}`,
 		`{"members":[{"id":"s","host_port":"x","phase":"ready"}]}`,
@@ -22,13 +22,13 @@
 		`{"members":[{"id":"s","host_port":"127.0.0.1:80","phase":"ready","up_since_ms":-1}]}`,
 		`{"members":[{"id":"s","phase":"gone"},{"id":"s","phase":"gone"}]}`} {
 		if list, err := Parse([]byte(bad)); err == nil {
-			t.Errorf("%s is read as %+v", bad, list)
+			t.Errorf("%s is parsed as %+v, want an error", bad, list)
 		}
 	}
 }
 
-// TestWatch: lists are told in order; the end of a watch, an answer other than 200 and a malformed line are told as
-// failures; of an earlier watch nothing is told any more.
+// TestWatch checks that lists are reported in order, that the end of a watch, a response status other than 200 and a
+// malformed list are reported as failures, and that nothing is reported of a watch that was replaced.
 func TestWatch(t *testing.T) {
 	lines := make(chan string)
 	queries := make(chan string, 4)
@@ -53,23 +53,23 @@
 	}))
 	defer s.Close()
 	defer s.CloseClientConnections()
-	told := make(chan string, 8)
+	reports := make(chan string, 8)
 	calls := make(chan func(), 8)
 	w := New(s.Listener.Addr().String(), time.Second, time.Second, func(call func()) { calls <- call },
-		func(l List) { told <- fmt.Sprint("list ", l.Revision) }, func(error) { told <- "failed" })
-	next := func(want string) {
+		func(l List) { reports <- fmt.Sprint("list ", l.Revision) }, func(error) { reports <- "failed" })
+	expect := func(want string) { // runs the calls for the event loop until something is reported
 		t.Helper()
 		for {
 			select {
 			case call := <-calls:
 				call()
-			case got := <-told:
+			case got := <-reports:
 				if got != want {
-					t.Fatalf("%s, want %s", got, want)
+					t.Fatalf("got %q, want %q", got, want)
 				}
 				return
 			case <-time.After(10 * time.Second):
-				t.Fatalf("nothing, want %s", want)
+				t.Fatalf("nothing reported, want %q", want)
 			}
 		}
 	}
@@ -80,19 +80,19 @@
 	lines <- `{"revision":42,"complete":true}`
 	lines <- ``
 	lines <- `{"revision":43}`
-	next("list 42")
-	next("list 43")
+	expect("list 42")
+	expect("list 43")
 	lines <- "end"
-	next("failed")
+	expect("failed")
 	w.Watch(43)
 	lines <- `{"revision":`
-	next("failed")
+	expect("failed")
 	w.Watch(43)
 	<-queries
 	<-queries
 	lines <- `{"revision":44}`
-	call := <-calls // told by a watch that another replaces
+	call := <-calls // of a watch that is replaced before the call runs
 	w.Watch(9)
 	call()
-	next("failed")
+	expect("failed")
 }
--- a/internal/discovery/slopes_test.go
+++ b/internal/discovery/slopes_test.go
@@ -8,12 +8,14 @@
 	"chalkferry/internal/capacity/heap"
 )
 
-// Benchmarks behind docs/CAPACITY.md: reading a whole list by its servers. `chalkferry capacity fit` reads their output.
+// Benchmarks behind docs/CAPACITY.md: the cost of parsing a complete list, by its number of servers. `chalkferry capacity
+// fit` reads their output.
 
+// slopeServers are the list sizes, in servers.
 var slopeServers = []int{100, 1000, 3000, 10000, 20000}
 
-// wholeList is the text of a complete list, with names and addresses of usual length.
-func wholeList(servers int) []byte {
+// encodeCompleteList returns the JSON text of a complete list, with names and addresses of typical length.
+func encodeCompleteList(servers int) []byte {
 	list := List{Revision: 1 << 40, Complete: true}
 	for i := range servers {
 		list.Servers = append(list.Servers, Server{ID: fmt.Sprintf("push-%05d.zone-%d", i, i%10),
@@ -22,7 +24,7 @@
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // can't happen: the list holds plain values only
 	}
 	return text
 }
@@ -30,7 +32,7 @@
 func BenchmarkSlopeListParse(b *testing.B) {
 	for _, n := range slopeServers {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			text := wholeList(n)
+			text := encodeCompleteList(n)
 			b.ReportAllocs()
 			_, held := heap.Held(func() List {
 				list, err := Parse(text)
--- a/internal/discovery/unread_test.go
+++ b/internal/discovery/unread_test.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// TestIsDrained guards against a list that has come and is not known: a watch is drained only once all of it was handed on.
+// TestIsDrained guards against a watch that counts as drained while a received list has not been handed to the event loop.
 func TestIsDrained(t *testing.T) {
-	lines, isOver := make(chan string), make(chan struct{})
+	lines, done := make(chan string), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for {
 			select {
 			case line := <-lines:
 				fmt.Fprintln(w, line)
 				w.(http.Flusher).Flush()
-			case <-isOver:
+			case <-done:
 				return
 			}
 		}
 	}))
 	defer server.Close()
-	defer close(isOver)
+	defer close(done)
 	received, release := make(chan uint64), make(chan struct{})
-	hold := func(call func()) { // the event loop takes nothing until it is released
+	execute := func(call func()) { // an event loop that runs nothing until the test releases it
 		<-release
 		call()
 	}
-	w := New(server.Listener.Addr().String(), time.Second, time.Second, hold, func(list List) { received <- list.Revision }, func(error) {})
+	w := New(server.Listener.Addr().String(), time.Second, time.Second, execute, func(list List) { received <- list.Revision }, func(error) {})
 	defer close(release)
-	defer w.Drop()
-	awaitDrained := func(is bool) {
+	defer w.Stop()
+	awaitDrained := func(want bool) {
 		t.Helper()
-		for limit := time.Now().Add(5 * time.Second); w.IsDrained() != is; time.Sleep(time.Millisecond) {
-			if time.Now().After(limit) {
-				t.Fatalf("drained is not %v", is)
+		for deadline := time.Now().Add(5 * time.Second); w.IsDrained() != want; time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("IsDrained does not become %v", want)
 			}
 		}
 	}
@@ -49,7 +49,7 @@
 		awaitDrained(false)
 		release <- struct{}{}
 		if got := <-received; got != revision {
-			t.Errorf("revision %d, not %d", got, revision)
+			t.Errorf("got revision %d, want %d", got, revision)
 		}
 		awaitDrained(true)
 	}
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -699,10 +699,10 @@
 	d := connect(t, r.at)
 	fmt.Fprint(d.Conn, "PING\r\n")
 	d.hear("PONG\r\n")
-	if took := time.Since(began); took > discovery.SilenceLimit*3/4 {
+	if took := time.Since(began); took > discovery.StalenessLimit*3/4 {
 		t.Errorf("it is ready after %v", took)
 	}
-	if took := (<-calls).at.Sub(began); took > discovery.SilenceLimit*5/4 {
+	if took := (<-calls).at.Sub(began); took > discovery.StalenessLimit*5/4 {
 		t.Errorf("it asks again after %v", took)
 	}
 }
@@ -984,7 +984,7 @@
 				}
 				again.opens(entry(2, "127.0.0.1:1", "draining"))
 				r.until("the drain is known", func() bool { return r.p.revision == 2 })
-				if took := time.Since(silent); took > discovery.SilenceLimit {
+				if took := time.Since(silent); took > discovery.StalenessLimit {
 					t.Errorf("it is known %v after the silence began", took)
 				}
 			})
@@ -1031,7 +1031,7 @@
 			first.Conn.(*net.TCPConn).SetLinger(0)
 			first.Close()
 			cut := time.Now()
-			if again := <-calls; again.at.Sub(cut) > discovery.SilenceLimit/2 {
+			if again := <-calls; again.at.Sub(cut) > discovery.StalenessLimit/2 {
 				t.Errorf("it is back after %v", again.at.Sub(cut))
 			}
 		})
--- a/internal/proxy/crowd_test.go
+++ b/internal/proxy/crowd_test.go
@@ -113,12 +113,12 @@
 					}
 				}
 				r.servedAmong(func() string { return "PING\r\n" }, "PONG\r\n").Close()
-				fail(next(t, calls, discovery.SilenceLimit))
+				fail(next(t, calls, discovery.StalenessLimit))
 			}
 			back := time.Now()
-			next(t, calls, discovery.SilenceLimit).opens(entry(2, server, "draining"))
+			next(t, calls, discovery.StalenessLimit).opens(entry(2, server, "draining"))
 			r.until("the drain is known", func() bool { return r.p.revision == 2 })
-			if took := time.Since(back); took > discovery.SilenceLimit {
+			if took := time.Since(back); took > discovery.StalenessLimit {
 				t.Errorf("the drain is known %v after discovery is back", took)
 			}
 			connect(t, r.at).say(opening(), "BUSY\r\n")
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -54,7 +54,7 @@
 			failed := time.Now()
 			for i, fail := range append(failedCalls, failedCalls[:2]...) {
 				c := next(t, calls, 20*time.Second)
-				if pause := c.at.Sub(failed); pause > discovery.SilenceLimit/2+300*time.Millisecond {
+				if pause := c.at.Sub(failed); pause > discovery.StalenessLimit/2+300*time.Millisecond {
 					t.Errorf("call %d comes %v after the one before has failed", i, pause)
 				}
 				fail(c)
@@ -62,7 +62,7 @@
 			}
 			next(t, calls, 20*time.Second).opens(entry(3, "127.0.0.1:1", "draining"))
 			r.until("the drain is known", func() bool { return r.p.revision == 3 })
-			if took := time.Since(failed); took > discovery.SilenceLimit {
+			if took := time.Since(failed); took > discovery.StalenessLimit {
 				t.Errorf("the drain is known %v after discovery could be reached", took)
 			}
 		})
@@ -83,7 +83,7 @@
 			lost := next(t, calls, time.Second)
 			for i := range 2 {
 				again := next(t, calls, 10*time.Second)
-				if pause := again.at.Sub(lost.at); pause > discovery.SilenceLimit-500*time.Millisecond || pause < discovery.SilenceLimit/2 {
+				if pause := again.at.Sub(lost.at); pause > discovery.StalenessLimit-500*time.Millisecond || pause < discovery.StalenessLimit/2 {
 					t.Errorf("call %d comes %v after the one before", i, pause)
 				}
 				lost = again
@@ -111,10 +111,10 @@
 				if terms.list.MaxRetryBackoff <= 0 || terms.ask <= 0 || terms.answer <= 0 {
 					t.Errorf("%s, connects of %d ms, asking in %d ms: %+v", mode, connect, asking, terms.list)
 				}
-				if spent := terms.ask + 2*terms.list.MaxRetryBackoff; spent > discovery.SilenceLimit*3/4 {
+				if spent := terms.ask + 2*terms.list.MaxRetryBackoff; spent > discovery.StalenessLimit*3/4 {
 					t.Errorf("%s, connects of %d ms, asking in %d ms: %v are spent before the next call", mode, connect, asking, spent)
 				}
-				if terms.answer >= discovery.SilenceLimit {
+				if terms.answer >= discovery.StalenessLimit {
 					t.Errorf("%s, asking in %d ms: a call may wait for %v", mode, asking, terms.answer)
 				}
 			}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -181,7 +181,7 @@
 	p.table.Serve(p.balancer)
 	if t.pushed {
 		p.clients.DelayPings()
-		p.timers.After(discovery.SilenceLimit/2, p.clients.AnswerPings) // a discovery that says nothing must not keep it out
+		p.timers.After(discovery.StalenessLimit/2, p.clients.AnswerPings) // a discovery that says nothing must not keep it out
 	}
 	p.balancer.ApplyList(p.now(), choice.ListCached, p.directory.entriesOf(known))
 	p.sweep()
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -54,7 +54,7 @@
 		if next.at.Discovery != p.at.Discovery {
 			// Asked at once: that the watch at hand ends may take long, and so may the pause after one that failed.
 			p.at.Discovery, p.failed = next.at.Discovery, 0
-			p.watcher.Move(next.at.Discovery)
+			p.watcher.SetAddress(next.at.Discovery)
 			p.balancer.ResubscribeList(p.now())
 		}
 		p.log.Info().Str("discovery", p.at.Discovery).Bool("settings", settings).Strs("at_next_start", differ).
@@ -72,7 +72,7 @@
 	p.table.Change(t.connect, t.still, t.mark, t.tellsLoad, t.tellsDelay)
 	p.clients.Change(t.hello, t.listenerIDs, t.tenantIDs, t.groups)
 	p.directory.change(t.zones, t.list.OnlyDrainsExclude, t.models)
-	p.watcher.Change(t.ask, t.answer)
+	p.watcher.SetTimeouts(t.ask, t.answer)
 	if !t.words.Enabled && p.peers != nil {
 		p.peers.Close()
 		p.peers = nil
--- a/internal/proxy/starttime.go
+++ b/internal/proxy/starttime.go
@@ -39,7 +39,7 @@
 	byNow := c.listAt - c.wall().Round(0).Sub(started)
 	since := max(byStart, byNow)
 	if c.lists > firstComparable { // it has started since the list before, which may have been late
-		since = max(since, c.lastListAt-discovery.SilenceLimit)
+		since = max(since, c.lastListAt-discovery.StalenessLimit)
 	}
 	return min(since, c.listAt)
 }
--- a/internal/proxy/starttime_test.go
+++ b/internal/proxy/starttime_test.go
@@ -57,7 +57,7 @@
 			if age := ages["a-old"]; age < runs+time.Hour-slip || age > runs+time.Hour+slip {
 				t.Errorf("the server known before is %v old", age)
 			}
-			if age, most := ages["b-new"], time.Second+discovery.SilenceLimit; age < 0 || age > most {
+			if age, most := ages["b-new"], time.Second+discovery.StalenessLimit; age < 0 || age > most {
 				t.Errorf("the new server is %v old, at most %v can be", age, most)
 			}
 			if step.own == 0 && step.listed == 0 && (ages["b-new"] < late-slip || ages["b-new"] > late+slip) {
--- a/internal/proxy/terms.go
+++ b/internal/proxy/terms.go
@@ -8,13 +8,13 @@
 	"chalkferry/internal/start"
 )
 
-// What discovery has counts as known so long (discovery.SilenceLimit) after it could be reached, however a call before has
+// What discovery has counts as known so long (discovery.StalenessLimit) after it could be reached, however a call before has
 // ended and however long the settings let a proxy not ask. A call may have begun just before that moment, so each way for
 // one to fail, and the pause after it, leave time within it for the next call.
 const (
-	longestAsk    = discovery.SilenceLimit / 4     // for a connection to be established
-	longestPause  = discovery.SilenceLimit / 2     // after a call that failed
-	longestAnswer = discovery.SilenceLimit * 5 / 6 // for a call to be answered; the next one follows with no pause
+	longestAsk    = discovery.StalenessLimit / 4     // for a connection to be established
+	longestPause  = discovery.StalenessLimit / 2     // after a call that failed
+	longestAnswer = discovery.StalenessLimit * 5 / 6 // for a call to be answered; the next one follows with no pause
 )
 
 // terms are what a configuration says of the platform. All of them may change while the proxy runs.
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -10,7 +10,7 @@
 
 func (p *Proxy) listed(list discovery.List) {
 	if list.Revision < p.revision {
-		p.watcher.Drop()
+		p.watcher.Stop()
 		p.watchFailed(fmt.Errorf("revision %d after %d", list.Revision, p.revision))
 		return
 	}
@@ -35,11 +35,11 @@
 	p.failed++
 	p.log.Warn().Err(err).Int("failures", p.failed).Msg("the watch of the list failed")
 	switch {
-	case errors.Is(err, discovery.ErrSilent):
-		p.watcher.Again(p.revision)
-	case errors.Is(err, discovery.ErrUnopened):
+	case errors.Is(err, discovery.ErrHeartbeatTimeout):
+		p.watcher.ReplaceSilent(p.revision)
+	case errors.Is(err, discovery.ErrReplacementTimeout):
 		p.watcher.Watch(p.revision)
-	case errors.Is(err, discovery.ErrUnanswered): // it has waited long enough
+	case errors.Is(err, discovery.ErrStartTimeout): // it has waited long enough
 		p.balancer.ResubscribeList(p.now())
 	default:
 		p.balancer.ApplyList(p.now(), choice.ListFailed, nil)
--- a/internal/scale/member.go
+++ b/internal/scale/member.go
@@ -112,7 +112,7 @@
 func (m *member) close() {
 	m.execute(func() {
 		m.closed = true
-		m.watcher.Drop()
+		m.watcher.Stop()
 	})
 	m.ends.Do(func() {
 		close(m.ended)
