--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -208,15 +208,15 @@
 		return
 	}
 	a := choice.Arrival{Listener: listener, Tenant: tenant,
-		TimeLeft: opening.Left - opening.Left/64, // some of it is gone by now, and the answer needs some
-		Load:     opening.Load / 1000, Client: choice.Key(line.Key(opening.Key)), MidFlow: opening.MidFlow,
+		TimeLeft: opening.Remaining - opening.Remaining/64, // some of it is gone by now, and the answer needs some
+		Load:     opening.Load / 1000, Client: choice.Key(line.NumericKey(opening.Key)), MidFlow: opening.MidFlow,
 		Reconnected: opening.Returned}
 	if c.clients.groups {
-		a.Group = choice.Key(line.Key(opening.Group))
+		a.Group = choice.Key(line.NumericKey(opening.Group))
 	}
 	var holder choice.ServerID
-	if opening.At != nil {
-		holder = c.clients.holder(opening.At)
+	if opening.Holder != nil {
+		holder = c.clients.holder(opening.Holder)
 	}
 	c.state, c.id = waits, string(opening.ID)
 	c.clients.ids[c.id] = c
@@ -290,7 +290,7 @@
 func (c *Client) broken() {
 	switch c.state {
 	case idle:
-		c.Answer(line.Busy(0), "client-broken")
+		c.Answer(line.FormatBusy(0), "client-broken")
 	case waits:
 		last := []byte("ERR\r\n")
 		if c.ex != nil { // it is not there yet while the module places the session
@@ -368,7 +368,7 @@
 		e = e.Str("id", c.id)
 	}
 	if o := c.opening; o != nil { // what a trace is made of
-		e = e.Bytes("listener", o.Listener).Bytes("key", o.Key).Dur("wait_ms", o.Left)
+		e = e.Bytes("listener", o.Listener).Bytes("key", o.Key).Dur("wait_ms", o.Remaining)
 		if o.Tenant != nil {
 			e = e.Bytes("title", o.Tenant)
 		}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -144,7 +144,7 @@
 	if ex.dials > 0 || ex.state == resuming {
 		return []byte("ERR\r\n")
 	}
-	return line.Busy(0)
+	return line.FormatBusy(0)
 }
 
 // Len is the number of sessions.
@@ -263,7 +263,7 @@
 }
 
 func (t *Table) Refuse(id choice.SessionID, comeBack time.Duration) {
-	t.answer(id, line.Busy(comeBack), "refused")
+	t.answer(id, line.FormatBusy(comeBack), "refused")
 }
 
 func (t *Table) Abort(id choice.SessionID) { t.answer(id, []byte("ERR\r\n"), "torn-down") }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -319,7 +319,7 @@
 	}
 	r.end(r.dials[0], choice.ServerFull)
 	o, err := line.ParseOpen([]byte(strings.TrimSpace(r.dials[1].first)))
-	if err != nil || o.Left != r.dials[1].until || r.dials[1].at == r.dials[0].at {
+	if err != nil || o.Remaining != r.dials[1].until || r.dials[1].at == r.dials[0].at {
 		t.Errorf("%q to server %d after %d", r.dials[1].first, r.dials[1].at, r.dials[0].at)
 	}
 }
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -317,7 +317,7 @@
 		d.parting = 0
 		switch string(line.Verb(text)) {
 		case "LOAD":
-			if level, ok := line.Level(text); ok {
+			if level, ok := line.ParseLoad(text); ok {
 				d.ex.NoteLoad(level)
 			}
 			continue
--- a/internal/standin/node/conn.go
+++ b/internal/standin/node/conn.go
@@ -164,7 +164,7 @@
 	}
 	now := n.now()
 	c.id = judge.SessionID(first.ID)
-	c.dial = n.judge.DialArrived(now, firstByte, c.id, n.ID, first.At != nil || first.MidFlow)
+	c.dial = n.judge.DialArrived(now, firstByte, c.id, n.ID, first.Holder != nil || first.MidFlow)
 	n.judge.SetDialProbe(c.id, c.dial, c.endUnread)
 	if n.state != running {
 		return
@@ -174,7 +174,7 @@
 		c.resume(now)
 		return
 	}
-	c.accept(now, first.Left)
+	c.accept(now, first.Remaining)
 }
 
 // accept begins a session, or refuses it. It needs the node's lock.
