--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -14,85 +14,87 @@
 
 const ms = time.Millisecond
 
-// stalls is a server on a clock of the test's own: it serves one call after another, each in a millisecond, and
-// stalls for a while.
-type stalls struct {
-	free, from, to time.Duration
+// stallingServer simulates a server on a virtual clock. It serves calls one after another, each in a millisecond, and starts
+// none from stallStart to stallEnd.
+type stallingServer struct {
+	nextFree, stallStart, stallEnd time.Duration
 }
 
-func (s *stalls) call(at time.Duration) (done time.Duration) {
-	begin := max(at, s.free)
-	if begin >= s.from && begin < s.to {
-		begin = s.to
+// serve returns when a call that arrives at a time is done.
+func (s *stallingServer) serve(arrival time.Duration) (done time.Duration) {
+	start := max(arrival, s.nextFree)
+	if start >= s.stallStart && start < s.stallEnd {
+		start = s.stallEnd
 	}
-	s.free = begin + ms
-	return s.free
+	s.nextFree = start + ms
+	return s.nextFree
 }
 
-// A server that stalls for 200 ms is seen in the p99 of each window that the stall reaches into when latencies
-// are counted from the schedule. A generator that waits for each answer, and counts from when it sends, hides it.
+// TestStallIsSeen checks that a stall of 200 ms shows up in the p99 of each window that it affects if latencies are measured
+// from the schedule. For comparison, a generator that waits for each answer and measures from the actual send hides it.
 func TestStallIsSeen(t *testing.T) {
-	const every, span = 4 * ms, 100 * ms
-	s := stalls{from: 500 * ms, to: 700 * ms}
-	open := NewRecorder(span)
-	for _, at := range Steady(0, 2*time.Second, float64(time.Second/every)) {
-		open.Record(at, s.call(at)-at)
+	const interval, windowLength = 4 * ms, 100 * ms
+	s := stallingServer{stallStart: 500 * ms, stallEnd: 700 * ms}
+	openLoop := NewRecorder(windowLength)
+	for _, sentAt := range Steady(0, 2*time.Second, float64(time.Second/interval)) {
+		openLoop.Record(sentAt, s.serve(sentAt)-sentAt)
 	}
-	s = stalls{from: 500 * ms, to: 700 * ms}
-	waiting := NewRecorder(span)
-	for at := time.Duration(0); at < 2*time.Second; {
-		done := s.call(at)
-		waiting.Record(at, done-at)
-		at = max(at+every, done)
+	s = stallingServer{stallStart: 500 * ms, stallEnd: 700 * ms}
+	closedLoop := NewRecorder(windowLength)
+	for sentAt := time.Duration(0); sentAt < 2*time.Second; {
+		done := s.serve(sentAt)
+		closedLoop.Record(sentAt, done-sentAt)
+		sentAt = max(sentAt+interval, done)
 	}
-	for i, w := range open.Windows() {
-		// The stall lasts to 700 ms; what piled up is served at a millisecond each, beside what comes every four.
-		// What came 1 ms before the stall's end had 50 before it, so windows 5 and 6 wait for it, and 7 for the rest.
+	for i, w := range openLoop.Windows() {
+		// The stall ends at 700 ms. About 50 calls have queued up by then; the server works them off at 1 ms each while
+		// a new one arrives every 4 ms. So calls of windows 5 and 6 wait for the stall's end, those of 7 for the queue.
 		if stalled := i >= 5 && i <= 7; stalled != (w.P99 > 20) {
-			t.Errorf("window from %v ms: p99 %v ms", w.FromMs, w.P99)
+			t.Errorf("window from %v ms: p99 is %v ms, want over 20 ms: %v", w.FromMs, w.P99, stalled)
 		}
 	}
-	if f := open.Summary(); f.P90 < 50 || f.Max < 195 {
-		t.Errorf("the open loop shows %+v", f)
+	if summary := openLoop.Summary(); summary.P90 < 50 || summary.Max < 195 {
+		t.Errorf("the open loop doesn't show the stall: %+v", summary)
 	}
-	if f := waiting.Summary(); f.P99 > 5 {
-		t.Errorf("the waiting generator was to hide the stall, it shows %+v", f)
+	if summary := closedLoop.Summary(); summary.P99 > 5 {
+		t.Errorf("the closed loop is expected to hide the stall, but shows %+v", summary)
 	}
 }
 
-// A generator that is slower than its schedule says so.
+// TestLateIsSaid checks that a generator that falls behind its schedule reports it.
 func TestLateIsSaid(t *testing.T) {
 	for _, c := range []struct {
-		late, of int
-		want     bool
+		late, total int // sends
+		tooMany     bool
 	}{{0, 1000, false}, {5, 1000, false}, {20, 1000, true}} {
 		l := NewLateness(10 * ms)
-		for i := range c.of {
-			by := ms
+		for i := range c.total {
+			delay := ms
 			if i < c.late {
-				by = 50 * ms
+				delay = 50 * ms
 			}
-			l.Record(by)
+			l.Record(delay)
 		}
-		if n, tooMany, all := l.Result(); int(n) != c.late || tooMany != c.want || all.N != int64(c.of) {
-			t.Errorf("%+v: %d, %v, %+v", c, n, tooMany, all)
+		if late, tooMany, all := l.Result(); int(late) != c.late || tooMany != c.tooMany || all.N != int64(c.total) {
+			t.Errorf("%+v: Result is %d, %v, %+v", c, late, tooMany, all)
 		}
 	}
 }
 
-// Run calls all of a schedule whatever the calls do, in order, and stops with its context.
+// TestRunDoesNotWait checks that Run makes all calls of a schedule although none of them returns, and stops when its context
+// ends.
 func TestRunDoesNotWait(t *testing.T) {
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
 	schedule := Steady(0, 100*ms, 1000)
-	stuck := make(chan struct{})
+	release := make(chan struct{})
 	var mu sync.Mutex
-	called := 0
+	called := 0 // guarded by mu
 	n := Run(context.Background(), now, schedule, func(int) {
 		mu.Lock()
 		called++
 		mu.Unlock()
-		<-stuck
+		<-release
 	})
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(ms) {
 		mu.Lock()
@@ -102,40 +104,41 @@
 			break
 		}
 	}
-	close(stuck)
+	close(release)
 	if n != len(schedule) || called != n {
-		t.Fatalf("%d of %d, %d ran", n, len(schedule), called)
+		t.Fatalf("Run returns %d and made %d calls, want %d", n, called, len(schedule))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if n := Run(ctx, now, []time.Duration{time.Hour}, func(int) {}); n != 0 {
-		t.Fatal(n)
+		t.Fatalf("Run started %d calls after its context had ended", n)
 	}
 }
 
-// Every shape is in order, within its time, the same for the same seed, and of about the size that it was asked for.
+// TestShapes checks of every shape of schedule that it is sorted, within its time, the same for the same seed, and of about
+// the requested size.
 func TestShapes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Int64().Draw(t, "seed")
 		rate := rapid.Float64Range(20, 200).Draw(t, "rate")
-		const from, to = 2 * time.Second, 12 * time.Second
+		const start, end = 2 * time.Second, 12 * time.Second
 		shapes := map[string]func(rng *rand.Rand) []time.Duration{
-			"poisson": func(rng *rand.Rand) []time.Duration { return Poisson(rng, from, to, rate, rate) },
-			"ramp":    func(rng *rand.Rand) []time.Duration { return Poisson(rng, from, to, 0, 2*rate) },
-			"steady":  func(*rand.Rand) []time.Duration { return Steady(from, to, rate) },
-			"steps":   func(rng *rand.Rand) []time.Duration { return Steps(rng, from, to, rate/2, rate*3/2, 5) },
-			"burst":   func(rng *rand.Rand) []time.Duration { return Burst(rng, from, time.Second, to, int(10*rate)) },
+			"poisson": func(rng *rand.Rand) []time.Duration { return Poisson(rng, start, end, rate, rate) },
+			"ramp":    func(rng *rand.Rand) []time.Duration { return Poisson(rng, start, end, 0, 2*rate) },
+			"steady":  func(*rand.Rand) []time.Duration { return Steady(start, end, rate) },
+			"steps":   func(rng *rand.Rand) []time.Duration { return Steps(rng, start, end, rate/2, rate*3/2, 5) },
+			"burst":   func(rng *rand.Rand) []time.Duration { return Burst(rng, start, time.Second, end, int(10*rate)) },
 		}
 		for name, shape := range shapes {
-			a, b := shape(rand.New(rand.NewSource(seed))), shape(rand.New(rand.NewSource(seed)))
-			if !reflect.DeepEqual(a, b) {
-				t.Fatalf("%s: two schedules of one seed", name)
+			first, second := shape(rand.New(rand.NewSource(seed))), shape(rand.New(rand.NewSource(seed)))
+			if !reflect.DeepEqual(first, second) {
+				t.Fatalf("%s: one seed gives two different schedules", name)
 			}
-			if !slices.IsSorted(a) || len(a) > 0 && (a[0] < from || a[len(a)-1] >= to) {
-				t.Fatalf("%s: out of order or of its time", name)
+			if !slices.IsSorted(first) || len(first) > 0 && (first[0] < start || first[len(first)-1] >= end) {
+				t.Fatalf("%s: not sorted, or not within its time", name)
 			}
-			if want := 10 * rate; float64(len(a)) < 0.6*want || float64(len(a)) > 1.4*want {
-				t.Fatalf("%s: %d, wanted about %v", name, len(a), want)
+			if want := 10 * rate; float64(len(first)) < 0.6*want || float64(len(first)) > 1.4*want {
+				t.Fatalf("%s: %d arrivals, want about %v", name, len(first), want)
 			}
 		}
 	})
