--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -41,13 +41,13 @@
 // watch starts, and count as known to the proxy once StalenessLimit has passed.
 var (
 	// ErrHeartbeatTimeout is the failure of a watch that received no byte for longer than a heartbeat may take.
-	ErrHeartbeatTimeout = errors.New("no data from discovery, not even a heartbeat: the watch counts as dead")
+	ErrHeartbeatTimeout = errors.New("the watch fell silent")
 	// ErrReplacementTimeout is the failure of a watch of ReplaceSilent that did not start in time.
-	ErrReplacementTimeout = errors.New("the watch that replaces a dead one did not start in time")
+	ErrReplacementTimeout = errors.New("the watch in place of a silent one did not begin in time")
 )
 
 // ErrStartTimeout is the failure of a watch of Watch that did not start within the start timeout.
-var ErrStartTimeout = errors.New("the watch did not start in time")
+var ErrStartTimeout = errors.New("the watch did not begin in time")
 
 // Server is one entry of the list.
 type Server struct {
