--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -1,7 +1,11 @@
-// Package fleet decides what the proxies of one fleet share. It has no I/O, clock, goroutine, chance or map order:
-// whoever owns the sockets calls it, one call at a time, with the time by a clock that goes on while the process is
-// frozen and while the machine sleeps (CLOCK_BOOTTIME), and carries its words, which may be lost, late, doubled and
-// out of order. docs/fleet.md has the argument for its bound.
+// Package fleet decides what the proxies of one fleet share: spending budgets, parts of which members lend each other
+// under leases (Budget), and reports on the health of servers (HealthReports). It is pure logic without I/O, clock,
+// goroutines, randomness or dependence on map order, and is not safe for concurrent use. The caller owns the sockets:
+// it passes the current time by a clock that keeps running while the process is frozen and while the machine sleeps
+// (CLOCK_BOOTTIME), and carries the messages, which may be lost, delayed, duplicated and reordered.
+//
+// docs/fleet.md has the argument for the bound of a budget. In short: a lender does not spend what it lent until the
+// borrower's term, the time until an effect and the window have passed by every clock within the configured drift.
 package fleet
 
 import (
@@ -11,103 +15,105 @@
 	"time"
 )
 
-// MemberID numbers the configured proxies from 0.
+// MemberID is the index of a configured proxy, from 0.
 type MemberID int
 
-// Incarnation tells the processes of one member apart: each start has a larger one than all before.
+// Incarnation tells the processes of one member apart: each start of a member has a larger one than all before.
 type Incarnation uint64
 
 // Amount is counted in the units of a budget: dials, or thousandths of a usual session's load.
 type Amount int64
 
-// LeaseID names one asking for one lease. No process uses one twice, and no two processes use the same.
+// LeaseID identifies one request for a lease. It is unique over all processes of the fleet and never reused.
 type LeaseID struct {
 	Borrower    MemberID
 	Incarnation Incarnation
-	Number      uint32
+	Number      uint32 // of the request, counted by the borrower's process from 1
 }
 
-// Kind says what a word asks or tells.
-type Kind uint8
+// MessageKind is the type of a Message.
+type MessageKind uint8
 
 const (
-	Ask      Kind = iota + 1 // the borrower: lend me up to so much
-	Grant                    // the lender: so much, for a term from when it was asked for
-	GiveBack                 // the borrower: nothing more will be spent of it
+	Request MessageKind = iota + 1 // borrower to lender: asks for up to the amount
+	Grant                          // lender to borrower: lends the amount, for a term from the time of the request
+	Release                        // borrower to lender: nothing more will be spent under the lease
 )
 
-// Word goes from one proxy to another about one lease.
-type Word struct {
-	Kind     Kind
+// Message is sent by one proxy to another about one lease.
+type Message struct {
+	Kind     MessageKind
 	From, To MemberID
 	Lease    LeaseID
 	Amount   Amount
 }
 
-type state int
+type leaseState int
 
 const (
-	asked   state = iota // the borrower's: no answer yet
-	held                 // the borrower's: it may spend
-	lent                 // the lender's: it must not spend
-	resting              // the lender's: given back, what the borrower spent is still in the window
-	over                 // either's: forgotten
+	leaseRequested leaseState = iota // at the borrower: not answered yet
+	leaseHeld                        // at the borrower: it may spend the amount
+	leaseLent                        // at the lender: it must not spend the amount
+	leaseReleased                    // at the lender: released, but the borrower's spending is still in the window
+	leaseEnded                       // at either side: to be removed
 )
 
-var mayEnter = [...][]state{
-	asked:   {held, over},
-	held:    {over},
-	lent:    {resting, over},
-	resting: {over},
-	over:    {},
+var allowedTransitions = [...][]leaseState{
+	leaseRequested: {leaseHeld, leaseEnded},
+	leaseHeld:      {leaseEnded},
+	leaseLent:      {leaseReleased, leaseEnded},
+	leaseReleased:  {leaseEnded},
+	leaseEnded:     {},
 }
 
-// lease is either side's record of one.
+// lease is the borrower's or the lender's record of a lease.
 type lease struct {
-	id     LeaseID
-	other  MemberID
-	amount Amount
-	state  state
-	until  time.Duration // the present state lasts no longer
-	spent  ledger        // the borrower's
+	id        LeaseID
+	peer      MemberID // the other side
+	amount    Amount
+	state     leaseState
+	expiresAt time.Duration // when the lease ends unless its state changes before
+	spent     ledger        // spending under the lease; only the borrower's record has any
 }
 
-// enter is the one place where a lease changes its state.
-func (l *lease) enter(next state, until time.Duration) {
-	if !slices.Contains(mayEnter[l.state], next) {
-		panic(fmt.Sprintf("lease %v goes from state %d to %d", l.id, l.state, next))
+// transitionTo changes the state of a lease. Every change after its creation goes through it; one that is not in
+// allowedTransitions panics.
+func (l *lease) transitionTo(next leaseState, expiresAt time.Duration) {
+	if !slices.Contains(allowedTransitions[l.state], next) {
+		panic(fmt.Sprintf("lease %v: invalid transition from state %d to %d", l.id, l.state, next))
 	}
-	l.state, l.until = next, until
+	l.state, l.expiresAt = next, expiresAt
 }
 
-// Budget is one process's part in one budget that all members share: in any window all of them together spend no
-// more than its amount, whoever hears whom. Each member owns one part of as many as are configured, and always may
-// spend what it has not lent of that. It borrows others' parts for a term, which they refrain from.
+// Budget is one process's share of a budget that all members have in common: in any window, all of them together
+// spend no more than the budget's amount, whichever of them can reach each other. Each member owns an equal share and
+// can always spend what it has not lent of it. It borrows from the shares of others for a term, during which the
+// lender does not spend what it lent.
 type Budget struct {
-	me          MemberID
-	members     int
-	incarnation Incarnation
-	part        Amount
-	span        time.Duration // in which spending is counted
-	term        time.Duration // of a lease, from when it was asked for
-	refrain     time.Duration // of a lender, from when it lends
-	effect      time.Duration // what is spent takes effect by then
-	quiet       time.Duration // until then nothing is spent, lent or asked for
-	own         ledger
-	leases      []lease // in the order in which they began
-	asks        uint32
+	self          MemberID
+	memberCount   int
+	incarnation   Incarnation
+	share         Amount        // owned by this member
+	spendWindow   time.Duration // how long an amount counts as spent, from the call of Spend
+	term          time.Duration // of a lease, from when it was requested
+	reserveTime   time.Duration // how long a lender does not spend what it lent, from when it lends
+	effectTimeout time.Duration // within which a spend takes effect
+	readyAt       time.Duration // nothing is spent, lent or requested before
+	ownSpending   ledger        // from the own share
+	leases        []lease       // in the order of creation
+	requestCount  uint32
 }
 
-// NewBudget makes a process's part in a budget of an amount in any window. Others' clocks may run faster or slower
-// than true time by the share drift at most, 0 to below 0.1, and what is spent takes effect (a dial's first byte is
-// sent) within the span effect of the call that allows it, or not at all. Members must agree on all of this. The
-// process does not know what was spent or lent under its name before, so it keeps quiet until that can no longer
-// matter. The error tells which argument can't be.
-func NewBudget(now time.Duration, me MemberID, members int, incarnation Incarnation, amount Amount,
+// NewBudget returns a process's share of a budget of amount per window. Other members' clocks run faster or slower
+// than true time by the share drift at most, 0 to below 0.1. What is spent takes effect (a dial's first byte is sent)
+// within effect of the call that allows it, or not at all. All members must use the same amount, window, term, effect
+// and drift. As the process does not know what the previous process of this member spent or lent, it spends, lends
+// and requests nothing until that can no longer matter, see StartupWait. An invalid argument is an error.
+func NewBudget(now time.Duration, self MemberID, memberCount int, incarnation Incarnation, amount Amount,
 	window, term, effect time.Duration, drift float64) (*Budget, error) {
 	switch {
-	case members < 1 || me < 0 || int(me) >= members:
-		return nil, fmt.Errorf("member %d of %d", me, members)
+	case memberCount < 1 || self < 0 || int(self) >= memberCount:
+		return nil, fmt.Errorf("member %d of %d", self, memberCount)
 	case amount < 0:
 		return nil, fmt.Errorf("a budget of %d", amount)
 	case window <= 0 || term <= 0 || effect < 0:
@@ -115,181 +121,194 @@
 	case !(drift >= 0 && drift < 0.1):
 		return nil, fmt.Errorf("clocks off by %v", drift)
 	}
-	b := &Budget{me: me, members: members, incarnation: incarnation, part: amount / Amount(members),
-		term: term, effect: scaled(effect, 1-drift)}
-	b.span = scaled(window+effect, 1+drift)
-	b.refrain = scaled(scaled(term, 1/(1-drift))+window+effect, 1+drift)
-	b.quiet = now + b.refrain
+	b := &Budget{self: self, memberCount: memberCount, incarnation: incarnation, share: amount / Amount(memberCount),
+		term: term, effectTimeout: scale(effect, 1-drift)}
+	b.spendWindow = scale(window+effect, 1+drift)
+	b.reserveTime = scale(scale(term, 1/(1-drift))+window+effect, 1+drift)
+	b.readyAt = now + b.reserveTime
 	return b, nil
 }
 
-func scaled(span time.Duration, by float64) time.Duration {
-	return time.Duration(math.Ceil(float64(span) * by))
+// scale multiplies a duration and rounds it up to a nanosecond.
+func scale(duration time.Duration, factor float64) time.Duration {
+	return time.Duration(math.Ceil(float64(duration) * factor))
 }
 
-// Quiet is how much longer this process keeps quiet after its start.
-func (b *Budget) Quiet(now time.Duration) time.Duration { return max(b.quiet-now, 0) }
+// StartupWait returns how much longer this process spends, lends and requests nothing after its start.
+func (b *Budget) StartupWait(now time.Duration) time.Duration { return max(b.readyAt-now, 0) }
 
-// Free is what could be spent now.
-func (b *Budget) Free(now time.Duration) Amount {
-	b.forget(now)
-	if now < b.quiet {
+// Available returns the amount that can be spent now, from the own share and from leases.
+func (b *Budget) Available(now time.Duration) Amount {
+	b.removeExpired(now)
+	if now < b.readyAt {
 		return 0
 	}
-	free := max(b.ownFree(now), 0)
+	available := max(b.ownAvailable(now), 0)
 	for i := range b.leases {
-		if l := &b.leases[i]; l.state == held {
-			free += l.free(now, b.span)
+		if l := &b.leases[i]; l.state == leaseHeld {
+			available += l.available(now, b.spendWindow)
 		}
 	}
-	return free
+	return available
 }
 
-// Spend takes an amount, whole or not at all: from leases first, those that end soonest before others, as what is
-// left of them is lost. What it allows must take effect by the returned time, or not at all: that guards against
-// a process that is frozen between this call and what it does.
-func (b *Budget) Spend(now time.Duration, amount Amount) (by time.Duration, ok bool) {
-	if amount < 0 || b.Free(now) < amount {
+// Spend takes the whole amount or nothing. It takes from leases first, the one that ends soonest before others, as
+// what is left of a lease at its end is lost. What is spent must take effect by the returned deadline or not at all:
+// this guards against a process that is frozen between this call and the action that it allows.
+func (b *Budget) Spend(now time.Duration, amount Amount) (deadline time.Duration, ok bool) {
+	if amount < 0 || b.Available(now) < amount {
 		return 0, false
 	}
-	for rest := amount; rest > 0; {
-		var from *lease
+	for remaining := amount; remaining > 0; {
+		var source *lease
 		for i := range b.leases {
 			l := &b.leases[i]
-			if l.state == held && l.free(now, b.span) > 0 && (from == nil || l.until < from.until) {
-				from = l
+			if l.state == leaseHeld && l.available(now, b.spendWindow) > 0 &&
+				(source == nil || l.expiresAt < source.expiresAt) {
+				source = l
 			}
 		}
-		if from == nil {
-			b.own.add(now, rest)
+		if source == nil {
+			b.ownSpending.add(now, remaining)
 			break
 		}
-		take := min(rest, from.free(now, b.span))
-		from.spent.add(now, take)
-		rest -= take
+		taken := min(remaining, source.available(now, b.spendWindow))
+		source.spent.add(now, taken)
+		remaining -= taken
 	}
-	return now + b.effect, true
+	return now + b.effectTimeout, true
 }
 
-// Borrow asks a member for up to an amount. The lease's term begins with this call, so that it ends here before the
-// lender takes its part back, without a common clock. An answer that comes after it is of no use.
-func (b *Budget) Borrow(now time.Duration, of MemberID, amount Amount) (word Word, ok bool) {
-	b.forget(now)
-	if now < b.quiet || amount <= 0 || of == b.me || of < 0 || int(of) >= b.members {
-		return Word{}, false
+// Borrow returns the request to a member for a lease of up to amount. The term begins with this call, so that the
+// lease ends at the borrower before the lender uses the amount again, without a common clock. A grant that arrives
+// after the term is of no use.
+func (b *Budget) Borrow(now time.Duration, lender MemberID, amount Amount) (request Message, ok bool) {
+	b.removeExpired(now)
+	if now < b.readyAt || amount <= 0 || lender == b.self || lender < 0 || int(lender) >= b.memberCount {
+		return Message{}, false
 	}
-	b.asks++
-	id := LeaseID{b.me, b.incarnation, b.asks}
-	b.leases = append(b.leases, lease{id: id, other: of, amount: amount, state: asked, until: now + b.term})
-	return Word{Ask, b.me, of, id, amount}, true
+	b.requestCount++
+	id := LeaseID{b.self, b.incarnation, b.requestCount}
+	b.leases = append(b.leases, lease{id: id, peer: lender, amount: amount, state: leaseRequested,
+		expiresAt: now + b.term})
+	return Message{Request, b.self, lender, id, amount}, true
 }
 
-// Hear takes a word, and returns the answer if there is one. Words for others, from those it can't come from, and
-// those that fit no lease are passed over.
-func (b *Budget) Hear(now time.Duration, w Word) (answer Word, ok bool) {
-	b.forget(now)
-	if w.To != b.me || w.From == b.me || w.From < 0 || int(w.From) >= b.members || w.Amount < 0 {
-		return Word{}, false
+// Receive handles a message and returns the reply if there is one. Messages to other members, from a member that
+// can't have sent them, and those that match no lease are ignored.
+func (b *Budget) Receive(now time.Duration, m Message) (reply Message, ok bool) {
+	b.removeExpired(now)
+	if m.To != b.self || m.From == b.self || m.From < 0 || int(m.From) >= b.memberCount || m.Amount < 0 {
+		return Message{}, false
 	}
-	at := slices.IndexFunc(b.leases, func(l lease) bool { return l.id == w.Lease && l.other == w.From })
+	index := slices.IndexFunc(b.leases, func(l lease) bool { return l.id == m.Lease && l.peer == m.From })
 	switch {
-	case w.Kind == Ask && w.Lease.Borrower == w.From:
-		if at < 0 {
-			return b.lend(now, w)
+	case m.Kind == Request && m.Lease.Borrower == m.From:
+		if index < 0 {
+			return b.lend(now, m)
 		}
-		if l := &b.leases[at]; l.state == lent { // the word came twice, or its answer was lost
-			return Word{Grant, b.me, w.From, w.Lease, l.amount}, true
+		if l := &b.leases[index]; l.state == leaseLent { // the request was duplicated: its grant may have been lost
+			return Message{Grant, b.self, m.From, m.Lease, l.amount}, true
 		}
-	case w.Kind == Grant && at >= 0 && b.leases[at].state == asked:
-		l := &b.leases[at]
-		l.amount = min(l.amount, w.Amount)
-		l.enter(held, l.until)
-	case w.Kind == GiveBack && at >= 0 && b.leases[at].state == lent && w.Lease.Borrower == w.From:
-		l := &b.leases[at]
-		l.enter(resting, min(l.until, now+b.span))
+	case m.Kind == Grant && index >= 0 && b.leases[index].state == leaseRequested:
+		l := &b.leases[index]
+		l.amount = min(l.amount, m.Amount)
+		l.transitionTo(leaseHeld, l.expiresAt)
+	case m.Kind == Release && index >= 0 && b.leases[index].state == leaseLent && m.Lease.Borrower == m.From:
+		l := &b.leases[index]
+		l.transitionTo(leaseReleased, min(l.expiresAt, now+b.spendWindow))
 	}
-	return Word{}, false
+	return Message{}, false
 }
 
-// lend gives what this process neither needs now nor spent within the window. Only its own part: what is borrowed
-// is never lent on.
-func (b *Budget) lend(now time.Duration, w Word) (answer Word, ok bool) {
-	amount := min(w.Amount, b.ownFree(now))
-	if now < b.quiet || amount <= 0 {
-		return Word{}, false
+// lend grants up to the requested amount from the own share, as far as it is neither lent nor spent within the window.
+// Borrowed amounts are never lent on.
+func (b *Budget) lend(now time.Duration, request Message) (grant Message, ok bool) {
+	amount := min(request.Amount, b.ownAvailable(now))
+	if now < b.readyAt || amount <= 0 {
+		return Message{}, false
 	}
-	b.leases = append(b.leases, lease{id: w.Lease, other: w.From, amount: amount, state: lent, until: now + b.refrain})
-	return Word{Grant, b.me, w.From, w.Lease, amount}, true
+	b.leases = append(b.leases, lease{id: request.Lease, peer: request.From, amount: amount, state: leaseLent,
+		expiresAt: now + b.reserveTime})
+	return Message{Grant, b.self, request.From, request.Lease, amount}, true
 }
 
-// Return ends the leases of which nothing is needed any more. Its words may be lost: then the lender waits longer.
-func (b *Budget) Return(now time.Duration) (words []Word) {
-	b.forget(now)
+// ReleaseAll ends all leases that this process holds and returns the messages that tell the lenders. If a message is
+// lost, the lender waits until its record of the lease expires.
+func (b *Budget) ReleaseAll(now time.Duration) (messages []Message) {
+	b.removeExpired(now)
 	for i := range b.leases {
-		if l := &b.leases[i]; l.state == held {
-			words = append(words, Word{GiveBack, b.me, l.other, l.id, l.amount})
-			l.enter(over, now)
+		if l := &b.leases[i]; l.state == leaseHeld {
+			messages = append(messages, Message{Release, b.self, l.peer, l.id, l.amount})
+			l.transitionTo(leaseEnded, now)
 		}
 	}
-	return words
+	return messages
 }
 
-// Lent is what others have of this process's part, and Borrowed what it has of theirs.
-func (b *Budget) Lent(now time.Duration) Amount     { return b.sum(now, lent) + b.sum(now, resting) }
-func (b *Budget) Borrowed(now time.Duration) Amount { return b.sum(now, held) }
+// Lent returns how much of this process's share is lent or, after a release, still reserved.
+func (b *Budget) Lent(now time.Duration) Amount {
+	return b.sumInState(now, leaseLent) + b.sumInState(now, leaseReleased)
+}
+
+// Borrowed returns how much this process holds of other members' shares.
+func (b *Budget) Borrowed(now time.Duration) Amount { return b.sumInState(now, leaseHeld) }
 
-func (b *Budget) sum(now time.Duration, in state) (sum Amount) {
-	b.forget(now)
+func (b *Budget) sumInState(now time.Duration, state leaseState) (sum Amount) {
+	b.removeExpired(now)
 	for _, l := range b.leases {
-		if l.state == in {
+		if l.state == state {
 			sum += l.amount
 		}
 	}
 	return sum
 }
 
-// ownFree is what is left of the own part.
-func (b *Budget) ownFree(now time.Duration) Amount {
-	free := b.part - b.own.since(now-b.span)
+// ownAvailable returns what is neither spent nor lent of the own share.
+func (b *Budget) ownAvailable(now time.Duration) Amount {
+	available := b.share - b.ownSpending.sumSince(now-b.spendWindow)
 	for _, l := range b.leases {
-		if l.state == lent || l.state == resting {
-			free -= l.amount
+		if l.state == leaseLent || l.state == leaseReleased {
+			available -= l.amount
 		}
 	}
-	return free
+	return available
 }
 
-func (l *lease) free(now, span time.Duration) Amount { return l.amount - l.spent.since(now-span) }
+// available returns what the borrower has not spent of a lease within the window.
+func (l *lease) available(now, window time.Duration) Amount {
+	return l.amount - l.spent.sumSince(now-window)
+}
 
-// forget ends what has lasted its time.
-func (b *Budget) forget(now time.Duration) {
+// removeExpired ends the leases whose time has come, and removes those that have ended.
+func (b *Budget) removeExpired(now time.Duration) {
 	for i := range b.leases {
-		if l := &b.leases[i]; l.state != over && now >= l.until {
-			l.enter(over, now)
+		if l := &b.leases[i]; l.state != leaseEnded && now >= l.expiresAt {
+			l.transitionTo(leaseEnded, now)
 		}
 	}
-	b.leases = slices.DeleteFunc(b.leases, func(l lease) bool { return l.state == over })
+	b.leases = slices.DeleteFunc(b.leases, func(l lease) bool { return l.state == leaseEnded })
 }
 
-// ledger has what was spent, in the order of time.
+// ledger records spending in chronological order.
 type ledger struct{ spends []spend }
 
 type spend struct {
-	at     time.Duration
-	amount Amount
+	spentAt time.Duration
+	amount  Amount
 }
 
-func (l *ledger) add(at time.Duration, amount Amount) {
-	l.spends = append(l.spends, spend{at, amount})
+func (l *ledger) add(spentAt time.Duration, amount Amount) {
+	l.spends = append(l.spends, spend{spentAt, amount})
 }
 
-// since adds up what was spent from then on, and forgets what was spent before.
-func (l *ledger) since(then time.Duration) (sum Amount) {
-	keep := slices.IndexFunc(l.spends, func(s spend) bool { return s.at >= then })
-	if keep < 0 {
-		keep = len(l.spends)
+// sumSince returns what was spent from start on, and removes the records of what was spent before.
+func (l *ledger) sumSince(start time.Duration) (sum Amount) {
+	first := slices.IndexFunc(l.spends, func(s spend) bool { return s.spentAt >= start })
+	if first < 0 {
+		first = len(l.spends)
 	}
-	l.spends = l.spends[:copy(l.spends, l.spends[keep:])]
+	l.spends = l.spends[:copy(l.spends, l.spends[first:])]
 	for _, s := range l.spends {
 		sum += s.amount
 	}
--- a/internal/fleet/budget_test.go
+++ b/internal/fleet/budget_test.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// explore plays all interleavings up to a depth and returns a way to a broken window, or none, and how many worlds
-// there were.
-func explore(f fault, depth int) (way []string, worlds int) {
+// explore searches all states up to a number of steps, breadth first. It returns the steps to a state that exceeds the
+// budget, or nil, and the number of distinct states.
+func explore(f fault, depth int) (violation []string, states int) {
 	seen := map[string]bool{}
-	level := []*world{newWorld(f)}
+	level := []*modelState{newModelState(f)}
 	for range depth {
-		var next []*world
-		for _, w := range level {
-			w.steps(f, func(to *world) {
-				if way == nil && to.broken() {
-					way = to.trace
+		var next []*modelState
+		for _, s := range level {
+			s.forEachSuccessor(f, func(successor *modelState) {
+				if violation == nil && successor.exceedsBudget() {
+					violation = successor.trace
 				}
-				if key := to.key(); !seen[key] {
+				if key := successor.key(); !seen[key] {
 					seen[key] = true
-					next = append(next, to)
+					next = append(next, successor)
 				}
 			})
-			if way != nil {
-				return way, len(seen)
+			if violation != nil {
+				return violation, len(seen)
 			}
 		}
 		level = next
@@ -34,215 +34,218 @@
 	return nil, len(seen)
 }
 
-// TestAllInterleavings plays three members with one asking, one doubled word, one restart and one return through
-// all orders of asking, hearing, losing, doubling, spending, taking effect late, expiring, restarting.
+// TestAllInterleavings searches all orders of request, receipt, loss, duplication, spending, delayed effect, expiry
+// and restart, for three members with one request, one duplicated message, one restart and one release.
 func TestAllInterleavings(t *testing.T) {
 	depth := 11
-	way, worlds := explore(sound, depth)
-	if way != nil {
-		t.Fatalf("passes the budget: %s", strings.Join(way, "; "))
+	violation, states := explore(noFault, depth)
+	if violation != nil {
+		t.Fatalf("the budget is exceeded by: %s", strings.Join(violation, "; "))
 	}
-	if worlds < 10000 {
-		t.Errorf("only %d worlds", worlds)
+	if states < 10000 {
+		t.Errorf("only %d states", states)
 	}
-	t.Logf("%d worlds to depth %d", worlds, depth)
+	t.Logf("%d states to depth %d", states, depth)
 }
 
-// TestFindsFaults shows that the search finds what it is for.
+// TestFindsFaults checks that the search of TestAllInterleavings finds members with known faults.
 func TestFindsFaults(t *testing.T) {
 	for f, name := range map[fault]string{ignoresTerm: "a borrower that ignores its term",
-		spendsAtOnce: "a member that spends right after its restart", addsBack: "a lender that adds its part back at once"} {
-		if way, worlds := explore(f, 14); way == nil {
-			t.Errorf("%s is not found in %d worlds", name, worlds)
+		skipsStartupWait: "a member that spends right after its restart", reclaimsAtEndOfTerm: "a lender that uses its share again at the end of the term"} {
+		if violation, states := explore(f, 14); violation == nil {
+			t.Errorf("%s is not found in %d states", name, states)
 		} else {
-			t.Logf("%s, %d worlds: %s", name, worlds, strings.Join(way, "; "))
+			t.Logf("%s, %d states: %s", name, states, strings.Join(violation, "; "))
 		}
 	}
 }
 
-// TestFleets drives fleets by chance on true time: clocks off by the stated bound, words lost, doubled, late by up to
-// two terms, both sides of a cut, members frozen between what they may spend and its effect, restarts in the middle.
-// No window has more than the budget.
+// TestFleets simulates random fleets in true time: clocks that drift within the configured bound, messages that are
+// lost, duplicated and delayed by up to two terms, partitions, members that freeze between spending and its effect,
+// and restarts. No window may exceed the budget.
 func TestFleets(t *testing.T) {
 	for seed := range int64(40) {
-		chance := rand.New(rand.NewSource(seed))
-		n := 2 + chance.Intn(9)
-		c := &crowd{members: make([]*Budget, n), frozen: make([]time.Duration, n)}
+		random := rand.New(rand.NewSource(seed))
+		n := 2 + random.Intn(9)
+		s := &simulation{members: make([]*Budget, n), frozenUntil: make([]time.Duration, n)}
 		for range n {
-			c.rates = append(c.rates, 1+crowdDrift*(2*chance.Float64()-1))
-			c.ahead = append(c.ahead, time.Duration(chance.Int63n(int64(1000*sec))))
+			s.clockRates = append(s.clockRates, 1+simulationDrift*(2*random.Float64()-1))
+			s.clockOffsets = append(s.clockOffsets, time.Duration(random.Int63n(int64(1000*sec))))
 		}
 		for i := range n {
-			c.start(i, 1)
+			s.start(i, 1)
 		}
-		for c.now < 120*sec {
-			c.now += time.Duration(chance.Int63n(int64(50 * time.Millisecond)))
-			i := chance.Intn(n)
-			if chance.Intn(2) == 0 {
-				i = 0 // which needs much
+		for s.now < 120*sec {
+			s.now += time.Duration(random.Int63n(int64(50 * time.Millisecond)))
+			i := random.Intn(n)
+			if random.Intn(2) == 0 {
+				i = 0 // this member needs more than its share
 			}
-			if c.frozen[i] > c.now {
+			if s.frozenUntil[i] > s.now {
 				continue
 			}
-			b, clock := c.members[i], c.clock(i)
-			post := func(word Word) {
-				if chance.Intn(5) > 0 && (int(word.To) < c.cut) == (int(word.From) < c.cut) {
-					for range 1 + chance.Intn(2) {
-						c.posts = append(c.posts, post{c.now + time.Duration(chance.Int63n(int64(2*crowdTerm>>chance.Intn(8)))), word})
+			b, clock := s.members[i], s.clock(i)
+			send := func(message Message) {
+				if random.Intn(5) > 0 && (int(message.To) < s.partition) == (int(message.From) < s.partition) {
+					for range 1 + random.Intn(2) {
+						s.deliveries = append(s.deliveries, delivery{s.now + time.Duration(random.Int63n(int64(2*simulationTerm>>random.Intn(8)))), message})
 					}
 				}
 			}
-			switch k := chance.Intn(40); {
-			case k < 20:
-				if by, ok := b.Spend(clock, 1); ok {
-					at := c.now + time.Duration(chance.Int63n(int64(2*crowdEffect)))
-					if chance.Intn(20) == 0 { // held up between
-						c.frozen[i] = c.now + time.Duration(chance.Int63n(int64(5*sec)))
-						at = max(at, c.frozen[i])
+			switch action := random.Intn(40); {
+			case action < 20:
+				if deadline, ok := b.Spend(clock, 1); ok {
+					effectAt := s.now + time.Duration(random.Int63n(int64(2*simulationEffect)))
+					if random.Intn(20) == 0 { // freezes between spending and its effect
+						s.frozenUntil[i] = s.now + time.Duration(random.Int63n(int64(5*sec)))
+						effectAt = max(effectAt, s.frozenUntil[i])
 					}
-					if c.ahead[i]+time.Duration(float64(at)*c.rates[i]) <= by { // else it must not
-						c.effects = append(c.effects, at)
+					if s.clockOffsets[i]+time.Duration(float64(effectAt)*s.clockRates[i]) <= deadline { // else it must have no effect
+						s.effects = append(s.effects, effectAt)
 					}
 				}
-			case k < 30:
-				if word, ok := b.Borrow(clock, MemberID(chance.Intn(n)), Amount(1+chance.Intn(2))); ok {
-					post(word)
+			case action < 30:
+				if request, ok := b.Borrow(clock, MemberID(random.Intn(n)), Amount(1+random.Intn(2))); ok {
+					send(request)
 				}
-			case k == 30:
-				for _, word := range b.Return(clock) {
-					post(word)
+			case action == 30:
+				for _, message := range b.ReleaseAll(clock) {
+					send(message)
 				}
-			case k == 31 && chance.Intn(20) == 0:
-				c.start(i, b.incarnation+1)
-			case k == 32 && chance.Intn(20) == 0:
-				c.cut = chance.Intn(n)
+			case action == 31 && random.Intn(20) == 0:
+				s.start(i, b.incarnation+1)
+			case action == 32 && random.Intn(20) == 0:
+				s.partition = random.Intn(n)
 			}
-			for j := 0; j < len(c.posts); j++ {
-				p := c.posts[j]
-				to := int(p.word.To)
-				if p.at > c.now || c.frozen[to] > c.now {
+			for j := 0; j < len(s.deliveries); j++ {
+				d := s.deliveries[j]
+				to := int(d.message.To)
+				if d.arrivesAt > s.now || s.frozenUntil[to] > s.now {
 					continue
 				}
-				c.posts = slices.Delete(c.posts, j, j+1)
+				s.deliveries = slices.Delete(s.deliveries, j, j+1)
 				j--
-				if answer, ok := c.members[to].Hear(c.clock(to), p.word); ok {
-					post(answer)
+				if reply, ok := s.members[to].Receive(s.clock(to), d.message); ok {
+					send(reply)
 				}
 			}
 		}
-		if most := c.most(); most > eachPart*n || most <= eachPart {
-			t.Errorf("seed %d: %d members, %d in a window of %d", seed, n, most, eachPart*n)
+		// The lower bound guards against a simulation that hardly spends anything.
+		if largest := s.maxInWindow(); largest > unitsPerMember*n || largest <= unitsPerMember {
+			t.Errorf("seed %d: %d members, %d units in a window, budget %d", seed, n, largest, unitsPerMember*n)
 		}
 	}
 }
 
-// TestLends: a member that needs all it can get, among others that need nothing, gets their parts for as much of the
-// time as the term is of the time that lenders refrain; alone, cut off, it has its own part and no less.
+// TestLends: a member that needs all it can get, among others that need nothing, can use their shares for as large a
+// part of the time as the term is of the lender's reserve time. When cut off from the others it has its own share.
 func TestLends(t *testing.T) {
 	const members, minutes = 4, 10
 	for _, c := range []struct {
 		term        time.Duration
-		cut         bool
-		least, most float64 // share of the budget
+		isCutOff    bool
+		least, most float64 // share of the budget that the member can spend
 	}{
 		{2 * sec, true, 0.22, 0.25}, {2 * sec, false, 0.6, 1}, {10 * sec, false, 0.8, 1}, {60 * sec, false, 0.8, 1},
 	} {
 		var fleet []*Budget
-		for me := range MemberID(members) {
-			b, err := NewBudget(0, me, members, 1, members*eachPart, crowdWindow, c.term, crowdEffect, crowdDrift)
+		for self := range MemberID(members) {
+			b, err := NewBudget(0, self, members, 1, members*unitsPerMember, simulationWindow, c.term, simulationEffect, simulationDrift)
 			if err != nil {
 				t.Fatal(err)
 			}
 			fleet = append(fleet, b)
 		}
-		began, spent := 2*fleet[0].refrain, Amount(0)
-		for now := began; now < began+minutes*time.Minute; now += sec / 10 {
-			for of := range MemberID(members) {
-				if word, ok := fleet[0].Borrow(now, of, eachPart); ok && !c.cut {
-					if answer, ok := fleet[of].Hear(now, word); ok {
-						fleet[0].Hear(now, answer)
+		startedAt, spent := 2*fleet[0].reserveTime, Amount(0)
+		for now := startedAt; now < startedAt+minutes*time.Minute; now += sec / 10 {
+			for lender := range MemberID(members) {
+				if request, ok := fleet[0].Borrow(now, lender, unitsPerMember); ok && !c.isCutOff {
+					if grant, ok := fleet[lender].Receive(now, request); ok {
+						fleet[0].Receive(now, grant)
 					}
 				}
 			}
-			free := fleet[0].Free(now)
-			if _, ok := fleet[0].Spend(now, free); ok {
-				spent += free
+			available := fleet[0].Available(now)
+			if _, ok := fleet[0].Spend(now, available); ok {
+				spent += available
 			}
 		}
-		whole := float64(members*eachPart) * float64(minutes*time.Minute) / float64(crowdWindow)
-		if share := float64(spent) / whole; share < c.least || share > c.most {
-			t.Errorf("term %v, cut %v: %.3f of the budget", c.term, c.cut, share)
+		budget := float64(members*unitsPerMember) * float64(minutes*time.Minute) / float64(simulationWindow)
+		if share := float64(spent) / budget; share < c.least || share > c.most {
+			t.Errorf("term %v, cut off %v: %.3f of the budget", c.term, c.isCutOff, share)
 		} else {
-			t.Logf("term %v, cut %v: %.3f of the budget", c.term, c.cut, share)
+			t.Logf("term %v, cut off %v: %.3f of the budget", c.term, c.isCutOff, share)
 		}
 	}
 }
 
-// TestLentOn: a member that has spent its own part, and holds another's, lends nothing, however much it may spend.
+// TestLentOn: a member that has spent its own share and holds a lease can still spend, but lends nothing, and a lender
+// does not lend the same amount to two members.
 func TestLentOn(t *testing.T) {
 	now := 100 * sec
 	var fleet []*Budget
-	for me := range MemberID(worldAmount) {
-		fleet = append(fleet, member(0, me, 1, sound))
+	for self := range MemberID(modelAmount) {
+		fleet = append(fleet, newMember(0, self, 1, noFault))
 	}
-	word, _ := fleet[0].Borrow(now, 1, 1)
-	answer, ok := fleet[1].Hear(now, word)
+	request, _ := fleet[0].Borrow(now, 1, 1)
+	grant, ok := fleet[1].Receive(now, request)
 	if !ok {
-		t.Fatal("nothing is lent")
+		t.Fatal("the request is not granted")
 	}
-	fleet[0].own.add(now, 1)
-	fleet[0].Hear(now, answer)
-	word, _ = fleet[2].Borrow(now, 0, 1)
-	if answer, ok := fleet[0].Hear(now, word); ok || fleet[0].Free(now) != 1 {
-		t.Errorf("lends on %+v, with %d free", answer, fleet[0].Free(now))
+	fleet[0].ownSpending.add(now, 1)
+	fleet[0].Receive(now, grant)
+	request, _ = fleet[2].Borrow(now, 0, 1)
+	if reply, ok := fleet[0].Receive(now, request); ok || fleet[0].Available(now) != 1 {
+		t.Errorf("borrowed amount lent on with %+v, %d available", reply, fleet[0].Available(now))
 	}
-	if answer, ok := fleet[1].Hear(now, Word{Ask, 2, 1, LeaseID{2, 1, 9}, 1}); ok {
-		t.Errorf("lends the same again: %+v", answer)
+	if reply, ok := fleet[1].Receive(now, Message{Request, 2, 1, LeaseID{2, 1, 9}, 1}); ok {
+		t.Errorf("the same amount lent twice: %+v", reply)
 	}
 }
 
-// TestPassedOver: words that fit nothing change nothing and are not answered.
-func TestPassedOver(t *testing.T) {
-	b := member(0, 0, 7, sound)
+// TestInvalidMessages: messages that don't match the state are not answered and change nothing, a grant gives no more than
+// was requested, and NewBudget refuses invalid arguments.
+func TestInvalidMessages(t *testing.T) {
+	b := newMember(0, 0, 7, noFault)
 	now := 100 * sec
-	mine, theirs := LeaseID{0, 7, 1}, LeaseID{1, 3, 1}
-	ask, ok := b.Borrow(now, 1, 1)
-	if !ok || ask.Lease != mine {
-		t.Fatalf("asked with %+v", ask)
+	ownLease, otherLease := LeaseID{0, 7, 1}, LeaseID{1, 3, 1}
+	request, ok := b.Borrow(now, 1, 1)
+	if !ok || request.Lease != ownLease {
+		t.Fatalf("request %+v", request)
 	}
-	for _, w := range []Word{
+	for _, m := range []Message{
 		{},
-		{Kind: 9, From: 1, Lease: theirs, Amount: 1},
-		{Ask, 1, 2, theirs, 1},                // for another
-		{Ask, 0, 0, mine, 1},                  // from itself
-		{Ask, 7, 0, theirs, 1},                // from no member
-		{Ask, 2, 0, theirs, 1},                // with another's lease
-		{Ask, 1, 0, theirs, -1},               // for less than nothing
-		{Grant, 2, 0, mine, 1},                // from one that was not asked
-		{Grant, 1, 0, LeaseID{0, 6, 1}, 1},    // to the process before
-		{GiveBack, 1, 0, theirs, 1},           // of what was never lent
-		{GiveBack, 1, 0, mine, 1},             // by the lender
-		{Grant, 1, 0, LeaseID{0, 7, 2}, 1000}, // not asked for yet
+		{Kind: 9, From: 1, Lease: otherLease, Amount: 1},
+		{Request, 1, 2, otherLease, 1},        // to another member
+		{Request, 0, 0, ownLease, 1},          // from itself
+		{Request, 7, 0, otherLease, 1},        // from an ID that no member has
+		{Request, 2, 0, otherLease, 1},        // with a third member's lease
+		{Request, 1, 0, otherLease, -1},       // for a negative amount
+		{Grant, 2, 0, ownLease, 1},            // from a member that was not asked
+		{Grant, 1, 0, LeaseID{0, 6, 1}, 1},    // to the previous process
+		{Release, 1, 0, otherLease, 1},        // of a lease that was never granted
+		{Release, 1, 0, ownLease, 1},          // by the lender
+		{Grant, 1, 0, LeaseID{0, 7, 2}, 1000}, // of a lease that was not requested yet
 	} {
-		if answer, ok := b.Hear(now, w); ok || b.Free(now) != 1 || b.Lent(now) != 0 || b.Borrowed(now) != 0 {
-			t.Errorf("%+v: answered %+v, %d free", w, answer, b.Free(now))
+		if reply, ok := b.Receive(now, m); ok || b.Available(now) != 1 || b.Lent(now) != 0 || b.Borrowed(now) != 0 {
+			t.Errorf("%+v: replied %+v, %d available", m, reply, b.Available(now))
 		}
 	}
-	if b.Hear(now, Word{Grant, 1, 0, mine, 1000}); b.Borrowed(now) != 1 {
-		t.Errorf("borrowed %d of the 1 that it asked for", b.Borrowed(now))
+	if b.Receive(now, Message{Grant, 1, 0, ownLease, 1000}); b.Borrowed(now) != 1 {
+		t.Errorf("borrowed %d, requested 1", b.Borrowed(now))
 	}
-	for what, err := range map[string]error{
-		"no members":  second(NewBudget(0, 0, 0, 1, 1, sec, sec, 0, 0)),
-		"a stranger":  second(NewBudget(0, 3, 3, 1, 1, sec, sec, 0, 0)),
-		"no window":   second(NewBudget(0, 0, 3, 1, 1, 0, sec, 0, 0)),
-		"no term":     second(NewBudget(0, 0, 3, 1, 1, sec, 0, 0, 0)),
-		"less than 0": second(NewBudget(0, 0, 3, 1, -1, sec, sec, 0, 0)),
-		"bad clocks":  second(NewBudget(0, 0, 3, 1, 1, sec, sec, 0, 0.1)),
+	for name, err := range map[string]error{
+		"no members":      errorOf(NewBudget(0, 0, 0, 1, 1, sec, sec, 0, 0)),
+		"unknown member":  errorOf(NewBudget(0, 3, 3, 1, 1, sec, sec, 0, 0)),
+		"no window":       errorOf(NewBudget(0, 0, 3, 1, 1, 0, sec, 0, 0)),
+		"no term":         errorOf(NewBudget(0, 0, 3, 1, 1, sec, 0, 0, 0)),
+		"negative amount": errorOf(NewBudget(0, 0, 3, 1, -1, sec, sec, 0, 0)),
+		"drift too large": errorOf(NewBudget(0, 0, 3, 1, 1, sec, sec, 0, 0.1)),
 	} {
 		if err == nil {
-			t.Errorf("%s: taken", what)
+			t.Errorf("%s: no error", name)
 		}
 	}
 }
 
-func second(_ *Budget, err error) error { return err }
+func errorOf(_ *Budget, err error) error { return err }
