--- a/internal/capacity/size.go
+++ b/internal/capacity/size.go
@@ -87,19 +87,19 @@
 		{"regions_apart", float64(size.RegionsApart)},
 	} {
 		if !(quantity.value > 0) {
-			return nil, file.Wrong(quantity.key, "it must be above 0")
+			return nil, file.Errorf(quantity.key, "it must be above 0")
 		}
 	}
 	if size.Zones < 2 {
-		return nil, file.Wrong("zones", "%v, at least 2 are needed for the loss of one", size.Zones)
+		return nil, file.Errorf("zones", "%v, at least 2 are needed for the loss of one", size.Zones)
 	}
 	for _, unknown := range size.Unknown.all() {
 		path := "unknown." + unknown.key
 		switch {
 		case !(unknown.Low > 0 && unknown.High > 0):
-			return nil, file.Wrong(path, "low and high must be above 0")
+			return nil, file.Errorf(path, "low and high must be above 0")
 		case unknown.Unit == "" || unknown.Reason == "":
-			return nil, file.Wrong(path, "unit and reason are needed")
+			return nil, file.Errorf(path, "unit and reason are needed")
 		}
 	}
 	return size, nil
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,5 +1,6 @@
-// Package peers carries datagrams between proxies over UDP, for the proxy's event loop. A datagram may be lost, doubled
-// or reordered, and its sender is not authenticated: what it means, and whether it is believed, is the receiver's.
+// Package peers exchanges datagrams between proxies over UDP, for the proxy's event loop. A datagram may be lost,
+// duplicated or reordered, and its sender is not authenticated: the receiver decides what it means and whether to trust
+// it.
 package peers
 
 import (
@@ -11,45 +12,49 @@
 	"chalkferry/internal/failure"
 )
 
-// MaxDatagram is the size of the largest datagram, in bytes.
+// MaxDatagram is the largest size of a datagram's payload, in bytes. Longer ones are ignored by the receiver.
 const MaxDatagram = 256
 
-// sendQueueLength is how many datagrams wait to be sent; more are dropped, as any may be lost.
+// sendQueueLength is how many datagrams can wait to be sent. More are dropped, which is allowed as any datagram may be
+// lost.
 const sendQueueLength = 64
 
-// Peers is one proxy's end.
-type Peers struct {
+// Conn is one proxy's UDP socket, with the destinations of its datagrams.
+type Conn struct {
 	conn         *net.UDPConn
 	destinations []netip.AddrPort
 	queue        chan datagram
 }
 
+// datagram is a payload that waits to be sent, with the destinations at the time of Send.
 type datagram struct {
 	payload      []byte
 	destinations []netip.AddrPort
 }
 
-// Listen receives datagrams at an address. They are sent to broadcast, one address that reaches all proxies, or where
-// that is "" to each of the others. receive is called from another goroutine, with a payload that is its own.
-func Listen(listen, broadcast string, others []string, receive func(payload []byte)) (*Peers, error) {
+// Listen opens a socket at the address listen and begins to receive. Datagrams are sent to the address broadcast, which
+// reaches all proxies, or if that is "", to each of the addresses in others. receive is called on another goroutine and
+// may keep the payload.
+func Listen(listen, broadcast string, others []string, receive func(payload []byte)) (*Conn, error) {
 	address, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
 		return nil, err
 	}
-	p := &Peers{queue: make(chan datagram, sendQueueLength)}
-	if err := p.Address(broadcast, others); err != nil {
+	c := &Conn{queue: make(chan datagram, sendQueueLength)}
+	if err := c.SetDestinations(broadcast, others); err != nil {
 		return nil, err
 	}
-	if p.conn, err = net.ListenUDP("udp", address); err != nil {
+	if c.conn, err = net.ListenUDP("udp", address); err != nil {
 		return nil, err
 	}
-	go p.read(receive)
-	go p.write()
-	return p, nil
+	go c.read(receive)
+	go c.write()
+	return c, nil
 }
 
-// Address sets the destinations from now on, as Listen does. It must not be called together with Send.
-func (p *Peers) Address(broadcast string, others []string) error {
+// SetDestinations replaces the destinations of later datagrams; the arguments are as for Listen. On an error the
+// destinations stay as they are. It must not be called concurrently with Send.
+func (c *Conn) SetDestinations(broadcast string, others []string) error {
 	if broadcast != "" {
 		others = []string{broadcast}
 	}
@@ -61,36 +66,39 @@
 		}
 		destinations = append(destinations, destination)
 	}
-	p.destinations = destinations
+	c.destinations = destinations
 	return nil
 }
 
-// Close ends receiving, and sending once the queue is empty.
-func (p *Peers) Close() {
-	p.conn.Close()
-	close(p.queue)
+// Close closes the socket, which ends receiving. The sending goroutine ends once the queue is empty. Send must not be
+// called after it.
+func (c *Conn) Close() {
+	c.conn.Close()
+	close(c.queue)
 }
 
-// Send sends a datagram to all destinations. It never blocks; a full queue drops it.
-func (p *Peers) Send(payload []byte) {
+// Send sends a datagram to all destinations. It never blocks: if the queue is full, the datagram is dropped. The payload
+// must not be changed after the call.
+func (c *Conn) Send(payload []byte) {
 	select {
-	case p.queue <- datagram{payload, p.destinations}:
+	case c.queue <- datagram{payload, c.destinations}:
 	default:
 	}
 }
 
-func (p *Peers) read(receive func([]byte)) {
-	buffer := make([]byte, MaxDatagram+1)
+// read passes received datagrams to receive until the socket is closed.
+func (c *Conn) read(receive func([]byte)) {
+	buffer := make([]byte, MaxDatagram+1) // one byte more than allowed, to recognize longer datagrams
 	var pause failure.BackOff
 	for {
-		n, _, err := p.conn.ReadFromUDPAddrPort(buffer)
+		n, _, err := c.conn.ReadFromUDPAddrPort(buffer)
 		var netErr net.Error
 		switch {
 		case err == nil && n <= MaxDatagram:
 			pause.Reset()
 			receive(append([]byte(nil), buffer[:n]...))
 		case err == nil: // too long
-		case errors.As(err, &netErr) && !errors.Is(err, net.ErrClosed): // that of an earlier datagram, which did not arrive
+		case errors.As(err, &netErr) && !errors.Is(err, net.ErrClosed): // reports that an earlier datagram was not delivered
 			time.Sleep(pause.Next())
 		default:
 			return
@@ -98,10 +106,11 @@
 	}
 }
 
-func (p *Peers) write() {
-	for d := range p.queue {
+// write sends the queued datagrams until the queue is closed.
+func (c *Conn) write() {
+	for d := range c.queue {
 		for _, destination := range d.destinations {
-			p.conn.WriteToUDPAddrPort(d.payload, destination) // may be lost like any
+			c.conn.WriteToUDPAddrPort(d.payload, destination) // errors are ignored: any datagram may be lost
 		}
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// TestWords: a datagram reaches all others, one that is too long none, and a full queue never blocks.
-func TestWords(t *testing.T) {
+// TestDatagrams: a datagram reaches all other proxies, one that is too long reaches none, and Send does not block when
+// the queue is full.
+func TestDatagrams(t *testing.T) {
 	received := make(chan string, 8)
-	free := func() string {
+	freeAddress := func() string {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -17,32 +18,34 @@
 		defer c.Close()
 		return c.LocalAddr().String()
 	}
-	one, two, three := free(), free(), free()
-	receive := func(name string) func([]byte) { return func(payload []byte) { received <- name + string(payload) } }
-	for at, name := range map[string]string{two: "two ", three: "three "} {
-		if _, err := Listen(at, "", nil, receive(name)); err != nil {
+	one, two, three := freeAddress(), freeAddress(), freeAddress()
+	receive := func(prefix string) func([]byte) {
+		return func(payload []byte) { received <- prefix + string(payload) }
+	}
+	for address, prefix := range map[string]string{two: "two ", three: "three "} {
+		if _, err := Listen(address, "", nil, receive(prefix)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	p, err := Listen(one, "", []string{two, three}, receive("one "))
+	c, err := Listen(one, "", []string{two, three}, receive("one "))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Send(make([]byte, MaxDatagram+1))
-	p.Send([]byte("late"))
+	c.Send(make([]byte, MaxDatagram+1))
+	c.Send([]byte("late"))
 	got := map[string]bool{}
 	for range 2 {
 		select {
 		case payload := <-received:
 			got[payload] = true
 		case <-time.After(5 * time.Second):
-			t.Fatalf("only %v", got)
+			t.Fatalf("received only %v after 5 s", got)
 		}
 	}
 	if !got["two late"] || !got["three late"] {
-		t.Errorf("%v", got)
+		t.Errorf("received %v, want \"two late\" and \"three late\"", got)
 	}
 	for range 10 * sendQueueLength {
-		p.Send([]byte("late"))
+		c.Send([]byte("late"))
 	}
 }
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -9,7 +9,7 @@
 )
 
 // listenPeers opens the socket for messages of other proxies, where the settings allow any.
-func (p *Proxy) listenPeers(at start.Addresses, t *terms) (*peers.Peers, error) {
+func (p *Proxy) listenPeers(at start.Addresses, t *terms) (*peers.Conn, error) {
 	if !t.words.Enabled || at.PeerListen == "" {
 		return nil, nil
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -61,7 +61,7 @@
 	directory       *directory
 	revision        uint64
 	failed          int // watches in a row
-	peers           *peers.Peers
+	peers           *peers.Conn
 	share           func([]sharing.Fact) // nil where nothing is shared
 	phase           phase
 	lastEvent       time.Duration   // when the event at hand began
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -24,7 +24,7 @@
 	defer func() { <-p.reloading }()
 	receives := make(chan bool)
 	p.execute(func() { receives <- p.peers != nil })
-	var end *peers.Peers
+	var end *peers.Conn
 	if !<-receives { // opened before anything changes, as it may fail; nothing else opens or closes one meanwhile
 		if end, err = p.listenPeers(next.at, next.terms); err != nil {
 			return err
@@ -48,7 +48,7 @@
 			p.settings = next.settings
 		}
 		if p.peers != nil {
-			p.peers.Address(next.at.PeersAll, next.at.Peers)
+			p.peers.SetDestinations(next.at.PeersAll, next.at.Peers)
 		}
 		p.at.PeersAll, p.at.Peers = next.at.PeersAll, next.at.Peers
 		if next.at.Discovery != p.at.Discovery {
--- a/internal/rehearse/check.go
+++ b/internal/rehearse/check.go
@@ -36,7 +36,7 @@
 func firstViolation(f *strict.File, prefix string, requirements []requirement) error {
 	for _, r := range requirements {
 		if r.violated {
-			return f.Wrong(prefix+r.key, "%s", r.text)
+			return f.Errorf(prefix+r.key, "%s", r.text)
 		}
 	}
 	return nil
@@ -134,7 +134,7 @@
 		shares += l.Share
 	}
 	if shares <= 0 {
-		return f.Wrong("listener", "no listener has a share")
+		return f.Errorf("listener", "no listener has a share")
 	}
 	return nil
 }
@@ -225,7 +225,7 @@
 		table := fmt.Sprintf("fault[%d].", i)
 		traits, known := faultKinds[fault.Kind]
 		if !known {
-			return f.Wrong(table+"kind", "%q is none of %s", fault.Kind, faultKindNames())
+			return f.Errorf(table+"kind", "%q is none of %s", fault.Kind, faultKindNames())
 		}
 		if err := firstViolation(f, table, s.faultRequirements(fault, traits)); err != nil {
 			return err
--- a/internal/scale/fault.go
+++ b/internal/scale/fault.go
@@ -90,7 +90,7 @@
 		at := fmt.Sprintf("fault[%d].", i)
 		needs, known := faultNeeds[fault.Kind]
 		if !known {
-			return f.Wrong(at+"kind", "%q is none of %s", fault.Kind, strings.Join(FaultKinds(), ", "))
+			return f.Errorf(at+"kind", "%q is none of %s", fault.Kind, strings.Join(FaultKinds(), ", "))
 		}
 		for _, v := range []struct {
 			key  string
@@ -108,7 +108,7 @@
 			{"aggregator", !needs.aggregator && fault.Aggregator != 0, "a " + string(fault.Kind) + " has none"},
 		} {
 			if v.bad {
-				return f.Wrong(at+v.key, "%s", v.text)
+				return f.Errorf(at+v.key, "%s", v.text)
 			}
 		}
 	}
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -122,11 +122,11 @@
 		{"expect.sum_error", p.Expect.SumError < 0, "must not be negative"},
 	} {
 		if v.bad {
-			return f.Wrong(v.key, "%s", v.text)
+			return f.Errorf(v.key, "%s", v.text)
 		}
 	}
 	if len(p.Faults) > maxFaults {
-		return f.Wrong(fmt.Sprintf("fault[%d]", maxFaults), "there are more than %d", maxFaults)
+		return f.Errorf(fmt.Sprintf("fault[%d]", maxFaults), "there are more than %d", maxFaults)
 	}
 	return p.checkFaults(f)
 }
--- a/internal/sharing/file.go
+++ b/internal/sharing/file.go
@@ -157,7 +157,7 @@
 func (r *addressReader) read(field, text string) netip.AddrPort {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil && r.err == nil {
-		r.err = r.file.Wrong(field, "%q is not an IPv4 address and a port", text)
+		r.err = r.file.Errorf(field, "%q is not an IPv4 address and a port", text)
 	}
 	return address
 }
@@ -173,7 +173,7 @@
 func atLine(file *strict.File, err error) error {
 	var wrong *ConfigError
 	if errors.As(err, &wrong) {
-		return file.Wrong(wrong.Field, "%s", wrong.Reason)
+		return file.Errorf(wrong.Field, "%s", wrong.Reason)
 	}
 	return err
 }
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads TOML files in which every key must be known, and reports errors with their line. What values are
-// valid is the caller's to decide.
+// Package strict reads TOML files in which every key must be known, and reports errors with file name and line. It does
+// not decide which values are valid: the caller does, and reports invalid ones with File.Errorf.
 package strict
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// File is a TOML text that was read, with the place of each of its keys.
+// File is a decoded TOML file. It has the position of each of its keys, for error messages.
 type File struct {
 	Name  string
-	lines map[string]int
+	lines map[string]int // line, from 1, of each key and table by its path, such as "fault[2].at"
 }
 
-// Error is what is wrong with a file, and where. Its text is "file:line: message".
+// Error is an error in a file, with its position. Its text is "file:line: message".
 type Error struct {
 	File string
-	Line int // from 1; 0 where the whole file is meant
+	Line int // from 1; 0 if the error is about the whole file
 	Text string
 }
 
@@ -33,21 +33,21 @@
 	return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text)
 }
 
-// Read reads the named file into a value, as Parse does.
-func Read(name string, into any) (*File, error) {
+// Read decodes the named file into target, as Parse does. If the file can't be read, the error is that of os.ReadFile.
+func Read(name string, target any) (*File, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
 	}
-	return Parse(name, text, into)
+	return Parse(name, text, target)
 }
 
-// Parse decodes a text into a value. A key that the value has no field for is an *Error, as is a value that the
-// field's type refuses.
-func Parse(name string, text []byte, into any) (*File, error) {
+// Parse decodes a TOML text into target, a pointer to a struct. name is the file name for errors. Invalid TOML, a key
+// without a field in target and a value that does not fit its field's type are returned as *Error.
+func Parse(name string, text []byte, target any) (*File, error) {
 	decoder := toml.NewDecoder(strings.NewReader(string(text)))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(target); err != nil {
 		var unknown *toml.StrictMissingError
 		var invalid *toml.DecodeError
 		switch {
@@ -63,42 +63,43 @@
 	return &File{Name: name, lines: keyLines(text)}, nil
 }
 
-// Wrong returns an *Error for the value at a path such as "fault[2].at". Where the file does not have the key, the
-// line is that of the nearest table around it.
-func (f *File) Wrong(path, format string, args ...any) error {
+// Errorf returns an *Error for the value at a path such as "fault[2].at", with a message that begins with the path. If
+// the file does not have the key, the line is that of the nearest enclosing table, or 0 if there is none.
+func (f *File) Errorf(path, format string, args ...any) error {
 	line := 0
-	for at := path; line == 0 && at != ""; {
-		line = f.lines[at]
-		cut := strings.LastIndexAny(at, ".[")
-		if cut < 0 {
+	for prefix := path; line == 0 && prefix != ""; {
+		line = f.lines[prefix]
+		end := strings.LastIndexAny(prefix, ".[")
+		if end < 0 {
 			break
 		}
-		at = at[:cut]
+		prefix = prefix[:end]
 	}
 	return &Error{f.Name, line, fmt.Sprintf("%s: %s", path, fmt.Sprintf(format, args...))}
 }
 
-// keyLines returns the line of each key and table of a text that has been decoded.
+// keyLines returns the line, from 1, of each key and table of a valid TOML text by its path. The tables of an array have
+// an index in their path, as in "fault[2]".
 func keyLines(text []byte) map[string]int {
-	lines, counts, table := map[string]int{}, map[string]int{}, ""
-	var p unstable.Parser
-	p.Reset(text)
-	for p.NextExpression() {
-		e := p.Expression()
+	lines, tableCounts, table := map[string]int{}, map[string]int{}, "" // table is the path of the current table
+	var parser unstable.Parser
+	parser.Reset(text)
+	for parser.NextExpression() {
+		expression := parser.Expression()
 		var names []string
 		line := 0
-		for it := e.Key(); it.Next(); {
+		for it := expression.Key(); it.Next(); {
 			if line == 0 {
-				line = p.Shape(it.Node().Raw).Start.Line
+				line = parser.Shape(it.Node().Raw).Start.Line
 			}
 			names = append(names, string(it.Node().Data))
 		}
 		path := strings.Join(names, ".")
-		switch e.Kind {
+		switch expression.Kind {
 		case unstable.ArrayTable:
-			n := counts[path]
-			counts[path]++
-			table = fmt.Sprintf("%s[%d]", path, n)
+			index := tableCounts[path]
+			tableCounts[path]++
+			table = fmt.Sprintf("%s[%d]", path, index)
 			lines[table] = line
 		case unstable.Table:
 			table = path
@@ -113,17 +114,17 @@
 	return lines
 }
 
-// Span is a duration in a file, such as "1.5s" or "200ms".
+// Span is a duration that is written as text in a file, such as "1.5s" or "200ms".
 type Span time.Duration
 
-// UnmarshalText reads what time.ParseDuration does.
+// UnmarshalText parses a duration in the format of time.ParseDuration.
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	*s = Span(d)
 	return err
 }
 
-// D is the span as a time.Duration.
+// D returns the duration as a time.Duration.
 func (s Span) D() time.Duration { return time.Duration(s) }
 
 func (s Span) String() string { return time.Duration(s).String() }
--- a/internal/strict/strict_test.go
+++ b/internal/strict/strict_test.go
@@ -15,22 +15,25 @@
 	}
 }
 
-const good = "name = \"x\"\n[part]\nrate = 2.5\n\n[[fault]]\nkind = \"hang\"\nat = \"1.5s\"\n[[fault]]\nkind = \"kill\"\n"
+// validText has two elements of the array fault; only the first has the key "at".
+const validText = "name = \"x\"\n[part]\nrate = 2.5\n\n[[fault]]\nkind = \"hang\"\nat = \"1.5s\"\n[[fault]]\nkind = \"kill\"\n"
 
+// TestLines: errors on values have the line of their key, of the table around a missing key, or no line.
 func TestLines(t *testing.T) {
-	var f file
-	at, err := Parse("a.toml", []byte(good), &f)
-	if err != nil || f.Fault[0].At.D() != 1500*time.Millisecond {
-		t.Fatal(err, f)
+	var content file
+	parsed, err := Parse("a.toml", []byte(validText), &content)
+	if err != nil || content.Fault[0].At.D() != 1500*time.Millisecond {
+		t.Fatal(err, content)
 	}
-	for path, line := range map[string]string{"part.rate": "a.toml:3: ", "fault[0].at": "a.toml:7: ",
+	for path, position := range map[string]string{"part.rate": "a.toml:3: ", "fault[0].at": "a.toml:7: ",
 		"fault[1].kind": "a.toml:9: ", "fault[1].at": "a.toml:8: ", "part": "a.toml:2: ", "nowhere": "a.toml: "} {
-		if got := at.Wrong(path, "no").Error(); !strings.HasPrefix(got, line+path) {
-			t.Errorf("%s: %s", path, got)
+		if got := parsed.Errorf(path, "invalid").Error(); !strings.HasPrefix(got, position+path) {
+			t.Errorf("error for %s is %q, want prefix %q", path, got, position+path)
 		}
 	}
 }
 
+// TestRefused: unknown keys, values of the wrong type and invalid TOML are refused with their line.
 func TestRefused(t *testing.T) {
 	for text, want := range map[string]string{
 		"name = \"x\"\nnome = 1\n":          "a.toml:2: unknown key \"nome\"",
@@ -39,7 +42,7 @@
 		"name = \"x\"\n[part\nrate = 1.0\n": "a.toml:2: ",
 	} {
 		if _, err := Parse("a.toml", []byte(text), new(file)); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", text, err, want)
+			t.Errorf("%q: error %v, want prefix %q", text, err, want)
 		}
 	}
 }
--- a/internal/timers/timers.go
+++ b/internal/timers/timers.go
@@ -1,4 +1,5 @@
-// Package timers keeps the timers of one event loop.
+// Package timers keeps the timers of one event loop in a heap, so that the loop needs a single wake-up call for all of
+// them. It does not read the clock or wait itself: the loop passes functions for both.
 package timers
 
 import (
@@ -6,80 +7,85 @@
 	"time"
 )
 
-// Timer is one call to come.
+// Timer is one pending call.
 type Timer struct {
-	at    time.Duration
-	order uint64
-	place int // in the heap, -1 when no longer there
-	call  func()
+	dueAt     time.Duration
+	sequence  uint64 // order of creation; decides between timers that are due at the same time
+	heapIndex int    // -1 once the timer is no longer in the heap
+	callback  func()
 }
 
-// Timers are used on the event loop only.
+// Timers are the timers of one event loop. All methods must be called on that loop.
 type Timers struct {
-	now   func() time.Duration
-	wake  func(after time.Duration) // asks for a call of Run
-	woken time.Duration             // when that comes, 0 if none is asked for
-	next  uint64
-	heap  queue
+	now          func() time.Duration
+	wake         func(after time.Duration) // requests a call of Run after a duration
+	wakeAt       time.Duration             // time of the earliest requested call of Run; 0 if none is requested
+	lastSequence uint64
+	heap         timerHeap
 }
 
+// New returns an empty set of timers. now returns the current time of the loop's clock. wake must cause a call of Run on
+// the loop after the given duration.
 func New(now func() time.Duration, wake func(after time.Duration)) *Timers {
 	return &Timers{now: now, wake: wake}
 }
 
-// After calls back on the loop, never at once.
-func (t *Timers) After(after time.Duration, call func()) *Timer {
-	t.next++
-	timer := &Timer{at: t.now() + max(after, 0), order: t.next, call: call}
+// After schedules a call on the loop after a duration. The call is never made from within After itself, nor from the
+// call of Run that After is called in.
+func (t *Timers) After(after time.Duration, callback func()) *Timer {
+	t.lastSequence++
+	timer := &Timer{dueAt: t.now() + max(after, 0), sequence: t.lastSequence, callback: callback}
 	heap.Push(&t.heap, timer)
-	t.arm()
+	t.requestWake()
 	return timer
 }
 
-// Stop takes a timer back; nil and one that has been called are fine.
+// Stop cancels a timer. It does nothing if the timer is nil, was called or was stopped before.
 func (t *Timers) Stop(timer *Timer) {
-	if timer != nil && timer.place >= 0 {
-		heap.Remove(&t.heap, timer.place)
+	if timer != nil && timer.heapIndex >= 0 {
+		heap.Remove(&t.heap, timer.heapIndex)
 	}
 }
 
-// Run calls what is due.
+// Run calls the timers that are due, in the order of their times, and requests the next call of Run.
 func (t *Timers) Run() {
-	t.woken = 0
-	now, last := t.now(), t.next
-	for len(t.heap) > 0 && t.heap[0].at <= now && t.heap[0].order <= last {
-		heap.Pop(&t.heap).(*Timer).call()
+	t.wakeAt = 0
+	now, last := t.now(), t.lastSequence
+	for len(t.heap) > 0 && t.heap[0].dueAt <= now && t.heap[0].sequence <= last {
+		heap.Pop(&t.heap).(*Timer).callback()
 	}
-	t.arm()
+	t.requestWake()
 }
 
-func (t *Timers) arm() {
-	if len(t.heap) > 0 && (t.woken == 0 || t.heap[0].at < t.woken) {
-		t.woken = t.heap[0].at
-		t.wake(max(t.heap[0].at-t.now(), 0))
+// requestWake requests a call of Run for the earliest timer, unless one is requested for that time or before.
+func (t *Timers) requestWake() {
+	if len(t.heap) > 0 && (t.wakeAt == 0 || t.heap[0].dueAt < t.wakeAt) {
+		t.wakeAt = t.heap[0].dueAt
+		t.wake(max(t.heap[0].dueAt-t.now(), 0))
 	}
 }
 
-type queue []*Timer
+// timerHeap implements heap.Interface, with the timer that is due next at the root.
+type timerHeap []*Timer
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+func (h timerHeap) Len() int { return len(h) }
+func (h timerHeap) Less(i, j int) bool {
+	return h[i].dueAt < h[j].dueAt || h[i].dueAt == h[j].dueAt && h[i].sequence < h[j].sequence
 }
-func (q queue) Swap(i, j int) {
-	q[i], q[j] = q[j], q[i]
-	q[i].place, q[j].place = i, j
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
-func (q *queue) Push(x any) {
+func (h *timerHeap) Push(x any) {
 	timer := x.(*Timer)
-	timer.place = len(*q)
-	*q = append(*q, timer)
+	timer.heapIndex = len(*h)
+	*h = append(*h, timer)
 }
-func (q *queue) Pop() any {
-	last := len(*q) - 1
-	timer := (*q)[last]
-	timer.place = -1
-	(*q)[last] = nil
-	*q = (*q)[:last]
+func (h *timerHeap) Pop() any {
+	last := len(*h) - 1
+	timer := (*h)[last]
+	timer.heapIndex = -1
+	(*h)[last] = nil
+	*h = (*h)[:last]
 	return timer
 }
