--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -62,7 +62,7 @@
 	revision        uint64
 	failed          int // watches in a row
 	peers           *peers.Conn
-	share           func([]sharing.Fact) // nil where nothing is shared
+	share           func([]sharing.SessionCount) // nil where nothing is shared
 	phase           phase
 	lastEvent       time.Duration   // when the event at hand began
 	standstill      standstill      // the last one
--- a/internal/proxy/share.go
+++ b/internal/proxy/share.go
@@ -8,7 +8,7 @@
 
 // Share has what this proxy holds published to the fleet, once in a note's span. It is to be called before Run;
 // publish must not wait for anything. Without it nothing is counted.
-func (p *Proxy) Share(publish func([]sharing.Fact)) { p.share = publish }
+func (p *Proxy) Share(publish func([]sharing.SessionCount)) { p.share = publish }
 
 // shareHeld begins to publish what is held by server, listener and tenant.
 func (p *Proxy) shareHeld() { p.publishHeld(sharing.NewTally()) }
@@ -16,8 +16,8 @@
 // publishHeld walks over the open sessions, on the event loop, and comes again after a note's span.
 func (p *Proxy) publishHeld(tally *sharing.Tally) {
 	tally.Begin()
-	p.table.EachOpen(func(at choice.ServerID, of *line.Open) { tally.Session(at, of) })
-	p.share(tally.Facts(p.serverName))
+	p.table.EachOpen(func(at choice.ServerID, of *line.Open) { tally.Add(at, of) })
+	p.share(tally.Finish(p.serverName))
 	p.timers.After(noteSpan, func() { p.publishHeld(tally) })
 }
 
--- a/internal/proxy/slopes_test.go
+++ b/internal/proxy/slopes_test.go
@@ -168,7 +168,7 @@
 	for _, n := range slopeOpen {
 		b.Run(fmt.Sprintf("sessions=%d", n), func(b *testing.B) {
 			p, facts := slopeProxy(b, slopeSumServers, n), 0
-			p.Share(func(held []sharing.Fact) { facts = len(held) })
+			p.Share(func(held []sharing.SessionCount) { facts = len(held) })
 			tally, held := heap.Held(func() *sharing.Tally {
 				tally := sharing.NewTally()
 				walk(p, tally)
@@ -188,7 +188,7 @@
 	for _, n := range slopeOpen {
 		b.Run(fmt.Sprintf("sessions=%d", n), func(b *testing.B) {
 			p := slopeProxy(b, slopeSumServers, n)
-			p.Share(func([]sharing.Fact) {})
+			p.Share(func([]sharing.SessionCount) {})
 			for b.Loop() {
 				walk(p, sharing.NewTally())
 			}
--- a/internal/scale/member.go
+++ b/internal/scale/member.go
@@ -35,8 +35,8 @@
 	sharer  sharer
 	watcher *discovery.Watcher
 	mark    atomic.Uint32
-	servers atomic.Pointer[[]sharing.Fact] // as published last
-	ended   chan struct{}                  // closed by close
+	servers atomic.Pointer[[]sharing.SessionCount] // as published last
+	ended   chan struct{}                          // closed by close
 	ends    sync.Once
 
 	mu       sync.Mutex // the member's event loop: one call at a time
@@ -86,7 +86,7 @@
 }
 
 // publish hands over what the member holds: the counts of servers, and its own of the two names.
-func (m *member) publish(servers []sharing.Fact) {
+func (m *member) publish(servers []sharing.SessionCount) {
 	if m.spec.Mute {
 		return
 	}
@@ -96,9 +96,9 @@
 		m.sharer.Publish(servers)
 		return
 	}
-	facts := make([]sharing.Fact, len(servers), len(servers)+1)
+	facts := make([]sharing.SessionCount, len(servers), len(servers)+1)
 	copy(facts, servers)
-	m.sharer.Publish(append(facts, sharing.Fact{Kind: aggregation.ByListener, Name: markedName, Held: mark}))
+	m.sharer.Publish(append(facts, sharing.SessionCount{Kind: aggregation.ByListener, Name: markedName, Sessions: mark}))
 }
 
 // publishMark publishes another value of the marked count at once, beside what was published last.
--- a/internal/scale/sharer.go
+++ b/internal/scale/sharer.go
@@ -18,7 +18,7 @@
 
 // sharer is the shared state of one hollow member: the only thing of the mechanism that a worker knows.
 type sharer interface {
-	Publish(facts []sharing.Fact)
+	Publish(facts []sharing.SessionCount)
 	Figure(kind aggregation.Kind, name string) (aggregation.Figure, bool)
 	Close()
 }
--- a/internal/scale/worker.go
+++ b/internal/scale/worker.go
@@ -55,7 +55,7 @@
 // worker is a child process: it holds hollow members, or the stand-in discovery service.
 type worker struct {
 	network  network
-	profiles [][][]sharing.Fact
+	profiles [][][]sharing.SessionCount
 	started  *StartMembers // the request
 
 	mu       sync.Mutex // restarts go on while requests are answered
@@ -122,7 +122,7 @@
 }
 
 // profile returns the variants that the member at a place of the request publishes.
-func (w *worker) profile(i int) [][]sharing.Fact { return w.profiles[i%len(w.profiles)] }
+func (w *worker) profile(i int) [][]sharing.SessionCount { return w.profiles[i%len(w.profiles)] }
 
 // current returns the members that run now.
 func (w *worker) current() []*member {
@@ -183,26 +183,26 @@
 
 // serverProfiles draws sets of servers that members hold sessions of, each in some variants that differ a little, so
 // that members of a set can share the memory of the generator.
-func serverProfiles(request *StartMembers) [][][]sharing.Fact {
+func serverProfiles(request *StartMembers) [][][]sharing.SessionCount {
 	rng := rand.New(rand.NewSource(request.Seed))
 	names := make([]string, request.Servers)
 	for i := range names {
 		names[i] = serverName(i)
 	}
 	own := max(request.Keys-1, 0) // the last is the common one
-	profiles := make([][][]sharing.Fact, profileCount)
+	profiles := make([][][]sharing.SessionCount, profileCount)
 	for p := range profiles {
 		held := rng.Perm(request.Servers)[:own]
 		for range variantCount {
-			facts := make([]sharing.Fact, 0, request.Keys)
+			facts := make([]sharing.SessionCount, 0, request.Keys)
 			for _, server := range held {
 				sessions := uint32(10 + server%50)
 				if rng.Float64() < variantChange {
 					sessions *= 2
 				}
-				facts = append(facts, sharing.Fact{Kind: aggregation.ByServer, Name: names[server], Held: sessions})
+				facts = append(facts, sharing.SessionCount{Kind: aggregation.ByServer, Name: names[server], Sessions: sessions})
 			}
-			facts = append(facts, sharing.Fact{Kind: aggregation.ByListener, Name: commonName, Held: commonHeld})
+			facts = append(facts, sharing.SessionCount{Kind: aggregation.ByListener, Name: commonName, Sessions: commonHeld})
 			profiles[p] = append(profiles[p], facts)
 		}
 	}
@@ -212,7 +212,7 @@
 func serverName(i int) string { return fmt.Sprintf("push-%d", i) }
 
 // publishing publishes a member's counts at an offset of its own within the interval.
-func (m *member) publishing(variants [][]sharing.Fact) {
+func (m *member) publishing(variants [][]sharing.SessionCount) {
 	first := time.NewTimer(time.Duration(rand.Int63n(int64(publishInterval))))
 	defer first.Stop()
 	select {
--- a/internal/sharing/aggregator.go
+++ b/internal/sharing/aggregator.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// aggregatorQueue is how many received messages of an aggregator may wait. A region of 2,500 members sends some
-	// 6,300 reports a second.
-	aggregatorQueue = 8192
-	// aggregatorSocketBuffer is asked of the kernel for the socket in each direction; net.core.rmem_max and wmem_max
-	// bound what it grants.
-	aggregatorSocketBuffer = 4 << 20
-	// slotSpan is the time between two batches of datagrams to members: each gets its own slot of an interval, so that
-	// datagrams to thousands of members don't leave at once.
-	slotSpan = 10 * time.Millisecond
+	// aggregatorQueueLength is how many received messages can wait at an aggregator. A region of 2,500 members sends
+	// about 6,300 reports per second.
+	aggregatorQueueLength = 8192
+	// aggregatorSocketBufferBytes is requested from the kernel for each direction of the socket, which grants no more than
+	// net.core.rmem_max and net.core.wmem_max.
+	aggregatorSocketBufferBytes = 4 << 20
+	// slotInterval is the time between two batches of datagrams to members. Each member belongs to one of the slots of a
+	// digest or heartbeat interval, so that datagrams to thousands of members are not sent at once.
+	slotInterval = 10 * time.Millisecond
 )
 
-// Aggregator is the process that adds up what the members of its region report.
+// Aggregator is a process that sums what the members of its region report, exchanges the sum with all other
+// aggregators, and sends the sums over the fleet to its members. Its methods may be called from any goroutine.
 type Aggregator struct {
 	config   AggregatorConfig
 	log      zerolog.Logger
@@ -37,19 +38,20 @@
 
 	incarnation aggregation.Incarnation
 
-	digests    *broadcast
-	heartbeats *broadcast
-	digest     aggregation.Digest // the latest
-	digestAt   time.Duration      // when it was made
+	digests      *broadcast
+	heartbeats   *broadcast
+	digest       aggregation.Digest // the latest
+	digestMadeAt time.Duration      // when it was made
 
-	asks    chan chan AggregatorProcessStatus
-	context context.Context
-	stop    context.CancelFunc
-	done    sync.WaitGroup
+	statusRequests chan chan AggregatorProcessStatus
+	context        context.Context
+	stop           context.CancelFunc
+	done           sync.WaitGroup
 }
 
-// StartAggregator opens the socket, and the status where the configuration names an address, and begins to receive and
-// send. Errors are those of Validate and of the two addresses.
+// StartAggregator opens the socket, and the status server if the configuration has an address for it, and begins to
+// receive and send. It returns an error if the configuration is invalid, if one of the two addresses can't be used, or
+// if the size of the socket's buffers can't be set.
 func StartAggregator(config AggregatorConfig, log zerolog.Logger) (*Aggregator, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -59,16 +61,16 @@
 	if err != nil {
 		return nil, err
 	}
-	end, err := listen(config.Listen, aggregatorQueue, newWarnings(log, config.Freshness+config.Decay))
+	end, err := listen(config.Listen, aggregatorQueueLength, newDropLog(log, config.Freshness+config.Decay))
 	if err != nil {
 		return nil, err
 	}
-	if err := end.setBuffers(aggregatorSocketBuffer); err != nil {
+	if err := end.setBuffers(aggregatorSocketBufferBytes); err != nil {
 		end.conn.Close()
-		return nil, fmt.Errorf("the socket's buffers: %w", err)
+		return nil, fmt.Errorf("set socket buffer size: %w", err)
 	}
 	a := &Aggregator{config: config, log: log, state: state, endpoint: end, names: aggregatorNames{},
-		members: newAddressBook(), incarnation: incarnation, asks: make(chan chan AggregatorProcessStatus)}
+		members: newAddressBook(), incarnation: incarnation, statusRequests: make(chan chan AggregatorProcessStatus)}
 	a.digests = newBroadcast(config.DigestInterval)
 	a.heartbeats = newBroadcast(config.HeartbeatInterval)
 	a.context, a.stop = context.WithCancel(context.Background())
@@ -95,10 +97,10 @@
 	for _, peer := range config.Peers {
 		logic.Peers = append(logic.Peers, aggregation.Peer{ID: aggregatorID(peer.Name), Region: peer.Region})
 	}
-	return aggregation.NewAggregator(boot(), logic)
+	return aggregation.NewAggregator(bootTime(), logic)
 }
 
-// Close ends it and waits until its goroutines have ended.
+// Close stops the aggregator and waits until its goroutines have ended.
 func (a *Aggregator) Close() {
 	a.stop()
 	a.endpoint.conn.Close()
@@ -106,23 +108,23 @@
 	a.done.Wait()
 }
 
-// StatusAddress is where the status is served, "" for nowhere.
+// StatusAddress returns the address that the status is served at, or "" if it is not served.
 func (a *Aggregator) StatusAddress() string { return a.status.address() }
 
-// Status is the state now; false if it has ended.
+// Status returns the current status; false if the aggregator was closed.
 func (a *Aggregator) Status() (AggregatorProcessStatus, bool) {
-	status, ok := askFor(a.context, a.asks)
-	if ok { // what the kernel says takes a while to read
+	status, ok := requestStatus(a.context, a.statusRequests)
+	if ok { // read here and not by the goroutine that owns the state, as /proc/net/udp takes a while to read
 		status.Datagrams.SocketDropped, status.SocketBuffer = a.endpoint.socketState()
 	}
 	return status, ok
 }
 
-// run owns the state.
+// run is the goroutine that owns the state. It returns when the aggregator is closed.
 func (a *Aggregator) run() {
 	exchange := newPacer(a.config.ExchangeInterval)
 	defer exchange.stop()
-	slot := newPacer(slotSpan)
+	slot := newPacer(slotInterval)
 	defer slot.stop()
 	for {
 		select {
@@ -135,16 +137,16 @@
 			a.sendRegionSum()
 		case <-slot.C:
 			slot.ticked()
-			a.sendSlots(boot())
-		case reply := <-a.asks:
+			a.sendSlots(bootTime())
+		case reply := <-a.statusRequests:
 			reply <- a.currentStatus()
 		}
 	}
 }
 
 func (a *Aggregator) receive(d datagram) {
-	now := boot()
-	outcome := aggregation.UnknownSender // of what only members receive
+	now := bootTime()
+	outcome := aggregation.UnknownSender // for messages that only members receive
 	switch content := d.content.(type) {
 	case aggregation.Report:
 		var refusal *aggregation.Refusal
@@ -167,7 +169,7 @@
 	}
 }
 
-// encode returns nil for a message that can't be sent.
+// encode returns the datagram of a message, or nil if the message can't be encoded, which it logs.
 func (a *Aggregator) encode(content message) []byte {
 	encoded, err := encode(content)
 	if err != nil {
@@ -176,9 +178,9 @@
 	return encoded
 }
 
-// sendRegionSum sends one datagram to all other aggregators.
+// sendRegionSum sends the same region sum to all other aggregators.
 func (a *Aggregator) sendRegionSum() {
-	encoded := a.encode(a.state.RegionSum(boot()))
+	encoded := a.encode(a.state.RegionSum(bootTime()))
 	if encoded == nil {
 		return
 	}
@@ -187,35 +189,37 @@
 	}
 }
 
-// sendSlots sends the members whose slot has come a digest if they subscribe, and a heartbeat if they don't. The digest
-// is made once an interval and goes out as it is but for its ages: its head must not say more than its entries hold.
+// sendSlots sends a message to the members whose slot has come: a digest to subscribers and a heartbeat to others. The
+// digest is made once per interval, and only its ages are updated when it is sent later: a newer head would claim reports
+// that are not in the entries.
 func (a *Aggregator) sendSlots(now time.Duration) {
 	if a.digests.advance(now) {
-		a.digest, a.digestAt = a.state.Digest(now), now
+		a.digest, a.digestMadeAt = a.state.Digest(now), now
 	}
 	if a.heartbeats.advance(now) {
 		a.members.forget(func(id aggregation.MemberID) bool { return !a.state.KnownMember(now, id) })
 	}
 	isSubscribed := func(id aggregation.MemberID) bool { return a.state.Subscribed(now, id) }
-	a.sendDue(a.digests, isSubscribed, func() aggregation.Digest { return aged(a.digest, now-a.digestAt) })
-	isOther := func(id aggregation.MemberID) bool { return !isSubscribed(id) }
-	a.sendDue(a.heartbeats, isOther, func() aggregation.Digest { return a.state.Heartbeat(now) })
+	a.sendDue(a.digests, isSubscribed, func() aggregation.Digest { return withAge(a.digest, now-a.digestMadeAt) })
+	isNotSubscribed := func(id aggregation.MemberID) bool { return !isSubscribed(id) }
+	a.sendDue(a.heartbeats, isNotSubscribed, func() aggregation.Digest { return a.state.Heartbeat(now) })
 }
 
-// aged returns a digest as it is a span after it was made.
-func aged(digest aggregation.Digest, by time.Duration) aggregation.Digest {
+// withAge returns a copy of a digest with age added to the ages in it.
+func withAge(digest aggregation.Digest, age time.Duration) aggregation.Digest {
 	digest.Regions = slices.Clone(digest.Regions)
 	for i := range digest.Regions {
-		digest.Regions[i].Age += by
+		digest.Regions[i].Age += age
 	}
 	return digest
 }
 
-// sendDue sends a message to the members that it is for and whose slot has come. It is made if there are any.
-func (a *Aggregator) sendDue(b *broadcast, isFor func(aggregation.MemberID) bool, create func() aggregation.Digest) {
+// sendDue sends a message to the members for which isRecipient returns true and whose slot has come. The message is
+// created only if there are any.
+func (a *Aggregator) sendDue(b *broadcast, isRecipient func(aggregation.MemberID) bool, create func() aggregation.Digest) {
 	var encoded []byte
 	for _, member := range a.members.entries {
-		if !b.isDue(member.id) || !isFor(member.id) {
+		if !b.isDue(member.id) || !isRecipient(member.id) {
 			continue
 		}
 		if encoded == nil {
@@ -228,7 +232,7 @@
 }
 
 func (a *Aggregator) currentStatus() AggregatorProcessStatus {
-	now := boot()
+	now := bootTime()
 	s := AggregatorProcessStatus{
 		StatusHead: StatusHead{Role: RoleAggregator, Name: a.config.Name, Region: a.config.Region,
 			Listen: a.endpoint.address().String(), Incarnation: a.incarnation},
@@ -259,7 +263,7 @@
 		if m.Weight == 1 {
 			s.Fresh++
 		}
-		s.Each = append(s.Each, KnownMemberStatus{ID: memberNumber(m.ID), Zone: m.Zone, Address: a.members.address(m.ID),
+		s.Each = append(s.Each, KnownMemberStatus{ID: formatMemberID(m.ID), Zone: m.Zone, Address: a.members.address(m.ID),
 			Incarnation: m.Incarnation, AgeMS: m.Age.Milliseconds(), Weight: m.Weight, Keys: m.Keys, KeysSent: m.KeysSent,
 			Slack: m.Slack, Subscribed: m.Subscribed})
 	}
--- a/internal/sharing/broadcast_test.go
+++ b/internal/sharing/broadcast_test.go
@@ -9,8 +9,8 @@
 	"chalkferry/internal/aggregation"
 )
 
-// TestBroadcast: in every interval each member gets one datagram, however irregularly the slots come, and no slot has
-// more than its part of the members.
+// TestBroadcast: each member gets one datagram per interval, however irregular the calls of advance are, and no call has
+// to send to more than a fraction of the members.
 func TestBroadcast(t *testing.T) {
 	const members, interval, intervals = 2000, 170 * time.Millisecond, 50
 	for seed := range int64(10) {
@@ -22,11 +22,11 @@
 		b := newBroadcast(interval)
 		now := time.Duration(random.Int63())/2 + interval
 		b.advance(now)
-		sent, begun, mostAtOnce := map[aggregation.MemberID]int{}, 0, 0
+		sent, intervalCount, mostAtOnce := map[aggregation.MemberID]int{}, 0, 0
 		for end := now + intervals*interval; now < end; {
-			now = min(now+1+time.Duration(random.Int63n(int64(2*slotSpan))), end)
+			now = min(now+1+time.Duration(random.Int63n(int64(2*slotInterval))), end)
 			if b.advance(now) {
-				begun++
+				intervalCount++
 			}
 			atOnce := 0
 			for _, id := range ids {
@@ -42,31 +42,32 @@
 				t.Fatalf("seed %d: a member got %d datagrams in %d intervals", seed, sent[id], intervals)
 			}
 		}
-		if begun != intervals {
-			t.Errorf("seed %d: %d messages made in %d intervals", seed, begun, intervals)
+		if intervalCount != intervals {
+			t.Errorf("seed %d: %d messages created in %d intervals", seed, intervalCount, intervals)
 		}
-		if mostAtOnce > members/4 { // 2 of 17 slots at most
-			t.Errorf("seed %d: %d of %d members at once", seed, mostAtOnce, members)
+		if mostAtOnce > members/4 { // a call covers at most 2 of 17 slots
+			t.Errorf("seed %d: %d of %d members are due in one call", seed, mostAtOnce, members)
 		}
 	}
 }
 
-// TestBroadcastStopped: a process that was stopped for long sends each member one datagram, not those that it missed.
+// TestBroadcastStopped: a process that was stopped for several intervals sends one datagram to each member at once, not
+// one for each missed interval.
 func TestBroadcastStopped(t *testing.T) {
 	b := newBroadcast(time.Second)
 	b.advance(100 * time.Second)
 	sent := 0
-	for now := 110 * time.Second; now <= 111*time.Second; now += slotSpan {
+	for now := 110 * time.Second; now <= 111*time.Second; now += slotInterval {
 		if b.advance(now); b.isDue(12345) {
 			sent++
 		}
 	}
-	if sent != 2 { // at once, and in its slot of the interval that begins
-		t.Errorf("%d datagrams", sent)
+	if sent != 2 { // at once, and at the member's instant of the next interval
+		t.Errorf("%d datagrams sent, want 2", sent)
 	}
 }
 
-// TestAddressBook: addresses are learnt, change, and go; none is lost with another.
+// TestAddressBook: after random additions, changes and removals the book has the same entries as a map.
 func TestAddressBook(t *testing.T) {
 	book := newAddressBook()
 	address := func(port int) netip.AddrPort {
@@ -84,20 +85,20 @@
 			book.forget(func(other aggregation.MemberID) bool { return other == id })
 		}
 		if len(book.entries) != len(want) || len(book.index) != len(want) {
-			t.Fatalf("%d entries, %d in the index, not %d", len(book.entries), len(book.index), len(want))
+			t.Fatalf("%d entries and %d in the index, want %d", len(book.entries), len(book.index), len(want))
 		}
 		for id, address := range want {
 			if book.address(id) != address.String() {
-				t.Fatalf("%d is at %q, not %s", id, book.address(id), address)
+				t.Fatalf("the address of %d is %q, want %s", id, book.address(id), address)
 			}
 		}
 	}
 	if book.address(1000) != "" {
-		t.Error("a member that never was")
+		t.Error("a member that was never added has an address")
 	}
 }
 
-// TestPacer: the first tick comes within the interval, and the others an interval apart.
+// TestPacer: ticks come, and after the first one the pacer runs at its interval.
 func TestPacer(t *testing.T) {
 	const interval = 20 * time.Millisecond
 	p := newPacer(interval)
@@ -107,7 +108,7 @@
 		case <-p.C:
 			p.ticked()
 		case <-time.After(10 * time.Second):
-			t.Fatal("no tick")
+			t.Fatal("no tick within 10 s")
 		}
 	}
 	if !p.started || p.interval != interval {
--- a/internal/sharing/clock.go
+++ b/internal/sharing/clock.go
@@ -7,32 +7,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// boot is the time since the machine started. It goes on while the process is stopped and while the machine sleeps, as
-// what others hold goes on, too.
-func boot() time.Duration {
+// bootTime returns the time since the machine started. This clock keeps running while the process is stopped and while
+// the machine sleeps, because what other processes hold ages meanwhile, too.
+func bootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // Linux has it
+		panic(err) // Linux always has this clock
 	}
 	return time.Duration(t.Nano())
 }
 
-// pacer ticks at a constant rate from a random offset on, so that processes that start at once don't send at once.
-// Ticks that were missed, as the process was stopped, are not made up for.
+// pacer ticks at a constant rate, with a random delay before the first tick so that processes that start at the same time
+// don't send at the same time. Ticks that are missed while the process is stopped are not made up for.
 type pacer struct {
 	C        <-chan time.Time
 	ticker   *time.Ticker
 	interval time.Duration
-	started  bool
+	started  bool // the first tick was received
 }
 
 func newPacer(interval time.Duration) *pacer {
-	offset := rand.N(interval) + 1 // a ticker's interval is above 0
+	offset := rand.N(interval) + 1 // NewTicker requires a positive duration
 	ticker := time.NewTicker(offset)
 	return &pacer{C: ticker.C, ticker: ticker, interval: interval}
 }
 
-// ticked is to be called after each tick that was received.
+// ticked must be called after each tick received from C.
 func (p *pacer) ticked() {
 	if !p.started {
 		p.started = true
--- a/internal/sharing/codec.go
+++ b/internal/sharing/codec.go
@@ -9,13 +9,14 @@
 	"chalkferry/internal/aggregation"
 )
 
-// protocolVersion is that of all datagrams. The flat reports that proxies sent to each other before had 1.
+// protocolVersion is the version in all datagrams. Version 1 was that of an earlier protocol, in which proxies sent
+// reports directly to each other.
 const protocolVersion = 2
 
-// maxDatagramBytes fits one packet on any network path.
+// maxDatagramBytes is the largest size of a datagram's payload. It fits into one packet on any network path.
 const maxDatagramBytes = aggregation.MaxDatagramBytes
 
-// Reasons why a datagram is dropped before its content is looked at.
+// Reasons for dropping a datagram before its message is handled. They are reason codes in the log.
 var (
 	errTooLong       = errors.New("too long")
 	errMalformed     = errors.New("malformed")
@@ -23,7 +24,7 @@
 	errUnknownSender = errors.New("unknown sender")
 )
 
-// messageType says what the body of a datagram is.
+// messageType is the type of the message in a datagram's body.
 type messageType uint8
 
 const (
@@ -33,24 +34,24 @@
 	refusalType
 )
 
-// envelope is the whole datagram: a CBOR map with small numbers as keys. A later version may add some.
+// envelope is a whole received datagram: a CBOR map with small integers as keys. Later versions may add keys.
 type envelope struct {
 	Version uint            `cbor:"0,keyasint"`
 	Type    messageType     `cbor:"1,keyasint"`
 	Body    cbor.RawMessage `cbor:"2,keyasint"`
 }
 
-// outgoing is envelope for encoding, without a copy of the body.
+// outgoing is an envelope to be encoded. The body is encoded in place, without an intermediate copy.
 type outgoing struct {
 	Version uint        `cbor:"0,keyasint"`
 	Type    messageType `cbor:"1,keyasint"`
 	Body    any         `cbor:"2,keyasint"`
 }
 
-// message is the body of a datagram: one of aggregation.Report, RegionSum, Digest and Refusal.
+// message is the body of a datagram: an aggregation.Report, RegionSum, Digest or Refusal.
 type message any
 
-// Every array of a message has fewer elements than this: an entry takes at least four bytes.
+// maxArrayElements is above the length of any array in a message, as an entry takes at least four bytes.
 const maxArrayElements = maxDatagramBytes / 4
 
 var decodeMode = mustMode(cbor.DecOptions{
@@ -58,18 +59,18 @@
 	IndefLength:      cbor.IndefLengthForbidden,
 	TagsMd:           cbor.TagsForbidden,
 	MaxArrayElements: maxArrayElements,
-	MaxMapPairs:      16, // the least that the library allows
+	MaxMapPairs:      16, // the smallest limit that the library allows
 	MaxNestedLevels:  8,
 }.DecMode())
 
 func mustMode(mode cbor.DecMode, err error) cbor.DecMode {
 	if err != nil {
-		panic(err) // constant options
+		panic(err) // can't happen: the options are constant
 	}
 	return mode
 }
 
-// encode makes a datagram of a message.
+// encode returns the datagram of a message. Its errors wrap errTooLong or errMalformed.
 func encode(content message) ([]byte, error) {
 	kind, err := typeOf(content)
 	if err != nil {
@@ -99,7 +100,7 @@
 	return 0, fmt.Errorf("%w: a message of type %T", errMalformed, content)
 }
 
-// decode reads a datagram. Its errors are errTooLong, errMalformed and errOtherVersion, wrapped.
+// decode returns the message in a datagram. Its errors wrap errTooLong, errMalformed or errOtherVersion.
 func decode(datagram []byte) (message, error) {
 	if len(datagram) > maxDatagramBytes {
 		return nil, errTooLong
--- a/internal/sharing/codec_test.go
+++ b/internal/sharing/codec_test.go
@@ -12,7 +12,7 @@
 	"chalkferry/internal/aggregation"
 )
 
-// smallMessages is one of each type.
+// smallMessages returns one message of each type.
 func smallMessages() []message {
 	entries := []aggregation.Entry{{Kind: aggregation.ByServer, ID: 7, Value: 8}}
 	return []message{
@@ -24,7 +24,7 @@
 	}
 }
 
-// TestCodec: each message comes back as it was sent.
+// TestCodec: each type of message is decoded to what was encoded; what can't be encoded is an error.
 func TestCodec(t *testing.T) {
 	for _, sent := range smallMessages() {
 		datagram, err := encode(sent)
@@ -37,7 +37,7 @@
 		}
 	}
 	if _, err := encode(7); !errors.Is(err, errMalformed) {
-		t.Errorf("a number as a message: %v", err)
+		t.Errorf("a number encoded as a message: %v", err)
 	}
 	many := make([]aggregation.Entry, maxDatagramBytes)
 	if _, err := encode(aggregation.Report{Entries: many}); !errors.Is(err, errTooLong) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestDecodeErrors: what is no datagram of this version is dropped by its reason.
+// TestDecodeErrors: datagrams that are too long, malformed or of another version are refused with that reason.
 func TestDecodeErrors(t *testing.T) {
 	good, err := encode(smallMessages()[0])
 	if err != nil {
@@ -74,24 +74,24 @@
 		"deep":              {append([]byte{0xa3, 0, 2, 1, 1, 2}, bytes.Repeat([]byte{0x81}, 1000)...), errMalformed},
 	} {
 		if content, err := decode(c.datagram); !errors.Is(err, c.want) || content != nil {
-			t.Errorf("%s: %v, %v, not %v", name, content, err, c.want)
+			t.Errorf("%s: message %v, error %v, want error %v", name, content, err, c.want)
 		}
 	}
 	for size := range len(good) {
 		if _, err := decode(good[:size]); !errors.Is(err, errMalformed) {
-			t.Errorf("cut after %d bytes: %v", size, err)
+			t.Errorf("truncated to %d bytes: error %v", size, err)
 		}
 	}
 }
 
 func must[T any](value T, err error) T {
 	if err != nil {
-		panic(err) // constant input
+		panic(err) // can't happen: the input is constant
 	}
 	return value
 }
 
-// FuzzDecode: whatever comes, decode returns a message that can be sent again or one of its errors.
+// FuzzDecode: for any input decode returns either a message that can be encoded again, or one of its documented errors.
 func FuzzDecode(f *testing.F) {
 	for _, content := range smallMessages() {
 		datagram, err := encode(content)
@@ -108,12 +108,12 @@
 		content, err := decode(datagram)
 		if err != nil {
 			if !errors.Is(err, errTooLong) && !errors.Is(err, errMalformed) && !errors.Is(err, errOtherVersion) {
-				t.Errorf("error of no known reason: %v", err)
+				t.Errorf("error without a known reason: %v", err)
 			}
 			return
 		}
 		if _, err := encode(content); err != nil && !errors.Is(err, errTooLong) {
-			t.Errorf("%+v can't be sent: %v", content, err)
+			t.Errorf("%+v can't be encoded: %v", content, err)
 		}
 	})
 }
--- a/internal/sharing/config.go
+++ b/internal/sharing/config.go
@@ -9,133 +9,136 @@
 	"chalkferry/internal/aggregation"
 )
 
-// Bounds of what a configuration may say.
+// Limits and defaults of configurations. Intervals must be short against the freshness: a process that did not handle
+// anything for a quarter of the freshness is taken to have been stopped, and a member changes to another aggregator after
+// half of the freshness without a datagram.
 const (
-	maxNameBytes        = 64                       // of a member's or an aggregator's name
-	maxRegionBytes      = aggregation.MaxNameBytes // of a region's or a zone's name: they go into datagrams
-	maxRegions          = aggregation.MaxRegions
-	maxAggregators      = 4 // of one region
-	maxMembersLimit     = 1 << 16
-	maxKeysLimit        = 1 << 20
-	minInterval         = 5 * time.Millisecond
-	maxInterval         = time.Minute
-	maxFreshness        = time.Hour // and of the decay
-	intervalsInFresh    = 5         // a process that is silent to itself for a quarter of the freshness counts as stopped
-	heartbeatsInFresh   = 4         // a member changes its aggregator after half of the freshness without a datagram
-	minDecay            = 10 * time.Millisecond
-	maxChangeShare      = 1.0
-	defaultChangeShare  = 0.1
-	defaultFreshness    = 5 * time.Second
-	defaultDecay        = 10 * time.Second
-	defaultReport       = 400 * time.Millisecond
-	defaultDigest       = 170 * time.Millisecond
-	defaultExchange     = 50 * time.Millisecond
-	defaultHeartbeat    = time.Second
-	defaultMemberKeys   = 32768
-	defaultAggregateKey = 32768
-	defaultMembers      = 6000
+	maxNameBytes              = 64                       // of a member's or an aggregator's name
+	maxRegionNameBytes        = aggregation.MaxNameBytes // of a region's or a zone's name, which are sent in datagrams
+	maxRegions                = aggregation.MaxRegions
+	maxAggregatorsPerRegion   = 4
+	maxConfigurableMembers    = 1 << 16
+	maxConfigurableKeys       = 1 << 20
+	minInterval               = 5 * time.Millisecond
+	maxInterval               = time.Minute
+	maxFreshness              = time.Hour // also the largest decay
+	minIntervalsPerFreshness  = 5         // report, exchange or digest intervals within the freshness
+	minHeartbeatsPerFreshness = 4         // heartbeat intervals within the freshness
+	minDecay                  = 10 * time.Millisecond
+	maxChangeShare            = 1.0
+	defaultChangeShare        = 0.1
+	defaultFreshness          = 5 * time.Second
+	defaultDecay              = 10 * time.Second
+	defaultReportInterval     = 400 * time.Millisecond
+	defaultDigestInterval     = 170 * time.Millisecond
+	defaultExchangeInterval   = 50 * time.Millisecond
+	defaultHeartbeatInterval  = time.Second
+	defaultMaxMemberKeys      = 32768
+	defaultMaxAggregatorKeys  = 32768
+	defaultMaxMembers         = 6000
 )
 
-// AggregatorAddress names one aggregator of a member's region.
+// AggregatorAddress is the name and address of an aggregator of a member's region.
 type AggregatorAddress struct {
 	Name    string
 	Address netip.AddrPort
 }
 
-// Peer names another aggregator: the second one of the own region, or one of another region.
+// Peer is another aggregator, of the same region or of another one.
 type Peer struct {
 	Name    string
 	Region  string
 	Address netip.AddrPort
 }
 
-// MemberConfig is what a proxy needs to take part. Times that are 0 are not valid: begin with DefaultMemberConfig.
+// MemberConfig is the configuration of a Member. Durations and limits of 0 are invalid: start from DefaultMemberConfig.
 type MemberConfig struct {
 	Name        string // unique in the fleet
 	Region      string
 	Zone        string
-	Listen      netip.AddrPort      // UDP, IPv4; port 0 takes a free one
-	Aggregators []AggregatorAddress // those of the region
-	Status      netip.AddrPort      // HTTP on loopback; the zero value means none
+	Listen      netip.AddrPort      // UDP, IPv4; port 0 selects a free port
+	Aggregators []AggregatorAddress // all of the region
+	Status      netip.AddrPort      // HTTP on loopback; the zero value disables it
 
 	ReportInterval time.Duration // between two reports
-	Freshness      time.Duration // a sender that was heard within it counts in full
-	Decay          time.Duration // and then less and less, to nothing after it
-	MaxKeys        int           // of each of the two tables: what is sent, and what is received
-	ChangeShare    float64       // a value that changed by more than this share of it is sent ahead of the others
+	Freshness      time.Duration // a sender counts in full for this long after its latest datagram
+	Decay          time.Duration // after the freshness, the time in which a sender's weight falls to 0
+	MaxKeys        int           // limit on each of the two tables: of sent values, and of received ones
+	ChangeShare    float64       // a value that changed by more than this share of it is sent before others
 
-	// WrapSocket, if not nil, returns what is used in place of the member's socket: a run that counts or loses
-	// datagrams sets it, a file can't.
+	// WrapSocket, if not nil, returns the socket to use in place of the member's own. Load tests set it to count or drop
+	// datagrams; it can't be set in a file.
 	WrapSocket func(Socket) Socket
 }
 
-// DefaultMemberConfig has the defaults of all that has one.
+// DefaultMemberConfig returns a configuration with all defaults. Names and addresses have none.
 func DefaultMemberConfig() MemberConfig {
-	return MemberConfig{ReportInterval: defaultReport, Freshness: defaultFreshness, Decay: defaultDecay,
-		MaxKeys: defaultMemberKeys, ChangeShare: defaultChangeShare}
+	return MemberConfig{ReportInterval: defaultReportInterval, Freshness: defaultFreshness, Decay: defaultDecay,
+		MaxKeys: defaultMaxMemberKeys, ChangeShare: defaultChangeShare}
 }
 
-// AggregatorConfig is what an aggregator needs. Times and limits that are 0 are not valid: begin with
+// AggregatorConfig is the configuration of an Aggregator. Durations and limits of 0 are invalid: start from
 // DefaultAggregatorConfig.
 type AggregatorConfig struct {
 	Name   string // unique among the aggregators of the fleet
 	Region string
-	Listen netip.AddrPort // UDP, IPv4; port 0 takes a free one
-	Peers  []Peer         // all other aggregators
-	Status netip.AddrPort // HTTP on loopback; the zero value means none
+	Listen netip.AddrPort // UDP, IPv4; port 0 selects a free port
+	Peers  []Peer         // all other aggregators of the fleet
+	Status netip.AddrPort // HTTP on loopback; the zero value disables it
 
 	DigestInterval    time.Duration // between two digests to a subscriber
 	ExchangeInterval  time.Duration // between two region sums to a peer
 	HeartbeatInterval time.Duration // between two heartbeats to a member
-	Freshness         time.Duration // as of a member
-	Decay             time.Duration // as of a member
-	ChangeShare       float64       // as of a member
-	MaxMembers        int           // of the region
-	MaxMemberKeys     int           // of one member
-	MaxKeys           int           // of the region and of the fleet
+	Freshness         time.Duration // as in MemberConfig
+	Decay             time.Duration // as in MemberConfig
+	ChangeShare       float64       // as in MemberConfig
+	MaxMembers        int           // members of the region
+	MaxMemberKeys     int           // keys of one member
+	MaxKeys           int           // keys of the region, and of the fleet
 }
 
-// DefaultAggregatorConfig has the defaults of all that has one.
+// DefaultAggregatorConfig returns a configuration with all defaults. Names, addresses and peers have none.
 func DefaultAggregatorConfig() AggregatorConfig {
-	return AggregatorConfig{DigestInterval: defaultDigest, ExchangeInterval: defaultExchange,
-		HeartbeatInterval: defaultHeartbeat, Freshness: defaultFreshness, Decay: defaultDecay,
-		ChangeShare: defaultChangeShare, MaxMembers: defaultMembers, MaxMemberKeys: defaultMemberKeys,
-		MaxKeys: defaultAggregateKey}
+	return AggregatorConfig{DigestInterval: defaultDigestInterval, ExchangeInterval: defaultExchangeInterval,
+		HeartbeatInterval: defaultHeartbeatInterval, Freshness: defaultFreshness, Decay: defaultDecay,
+		ChangeShare: defaultChangeShare, MaxMembers: defaultMaxMembers, MaxMemberKeys: defaultMaxMemberKeys,
+		MaxKeys: defaultMaxAggregatorKeys}
 }
 
-// ConfigError says which field of a configuration is wrong. The field has the name that it has in a file.
+// ConfigError reports an invalid field of a configuration.
 type ConfigError struct {
-	Field  string
+	Field  string // path of the field in a file, such as "peers[0].name"
 	Reason string
 }
 
 func (e *ConfigError) Error() string { return e.Field + ": " + e.Reason }
 
+// invalid returns a *ConfigError.
 func invalid(field, format string, args ...any) error {
 	return &ConfigError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Validate returns a *ConfigError for the first field that is wrong.
+// Validate returns a *ConfigError for the first invalid field, or nil.
 func (c *MemberConfig) Validate() error {
 	checks := []error{
 		checkName("name", c.Name, maxNameBytes),
-		checkName("region", c.Region, maxRegionBytes),
-		checkName("zone", c.Zone, maxRegionBytes),
+		checkName("region", c.Region, maxRegionNameBytes),
+		checkName("zone", c.Zone, maxRegionNameBytes),
 		checkListen(c.Listen),
 		checkStatus(c.Status),
 		c.checkAggregators(),
 		checkInterval("report_interval", c.ReportInterval),
-		checkFreshness(c.Freshness, intervalsInFresh, "report_interval", c.ReportInterval),
+		checkFreshness(c.Freshness, minIntervalsPerFreshness, "report_interval", c.ReportInterval),
 		checkDecay(c.Decay),
-		checkLimit("keys", c.MaxKeys, maxKeysLimit),
+		checkLimit("keys", c.MaxKeys, maxConfigurableKeys),
 		checkShare(c.ChangeShare),
 	}
 	return firstError(checks)
 }
 
 func (c *MemberConfig) checkAggregators() error {
-	if len(c.Aggregators) == 0 || len(c.Aggregators) > maxAggregators {
-		return invalid("aggregators", "there are %d, 1 to %d are possible", len(c.Aggregators), maxAggregators)
+	if len(c.Aggregators) == 0 || len(c.Aggregators) > maxAggregatorsPerRegion {
+		return invalid("aggregators", "there are %d, 1 to %d are possible", len(c.Aggregators), maxAggregatorsPerRegion)
 	}
 	for i, aggregator := range c.Aggregators {
 		field := fmt.Sprintf("aggregators[%d]", i)
@@ -156,25 +159,25 @@
 	return nil
 }
 
-// Validate returns a *ConfigError for the first field that is wrong.
+// Validate returns a *ConfigError for the first invalid field, or nil.
 func (c *AggregatorConfig) Validate() error {
 	checks := []error{
 		checkName("name", c.Name, maxNameBytes),
-		checkName("region", c.Region, maxRegionBytes),
+		checkName("region", c.Region, maxRegionNameBytes),
 		checkListen(c.Listen),
 		checkStatus(c.Status),
 		c.checkPeers(),
 		checkInterval("digest_interval", c.DigestInterval),
 		checkInterval("exchange_interval", c.ExchangeInterval),
 		checkInterval("heartbeat_interval", c.HeartbeatInterval),
-		checkFreshness(c.Freshness, intervalsInFresh, "exchange_interval", c.ExchangeInterval),
-		checkFreshness(c.Freshness, intervalsInFresh, "digest_interval", c.DigestInterval),
-		checkFreshness(c.Freshness, heartbeatsInFresh, "heartbeat_interval", c.HeartbeatInterval),
+		checkFreshness(c.Freshness, minIntervalsPerFreshness, "exchange_interval", c.ExchangeInterval),
+		checkFreshness(c.Freshness, minIntervalsPerFreshness, "digest_interval", c.DigestInterval),
+		checkFreshness(c.Freshness, minHeartbeatsPerFreshness, "heartbeat_interval", c.HeartbeatInterval),
 		checkDecay(c.Decay),
 		checkShare(c.ChangeShare),
-		checkLimit("members", c.MaxMembers, maxMembersLimit),
-		checkLimit("member_keys", c.MaxMemberKeys, maxKeysLimit),
-		checkLimit("keys", c.MaxKeys, maxKeysLimit),
+		checkLimit("members", c.MaxMembers, maxConfigurableMembers),
+		checkLimit("member_keys", c.MaxMemberKeys, maxConfigurableKeys),
+		checkLimit("keys", c.MaxKeys, maxConfigurableKeys),
 	}
 	return firstError(checks)
 }
@@ -187,7 +190,7 @@
 		if err := checkName(field+".name", peer.Name, maxNameBytes); err != nil {
 			return err
 		}
-		if err := checkName(field+".region", peer.Region, maxRegionBytes); err != nil {
+		if err := checkName(field+".region", peer.Region, maxRegionNameBytes); err != nil {
 			return err
 		}
 		if err := checkAddress(field+".address", peer.Address); err != nil {
@@ -199,8 +202,8 @@
 		if peer.Address == c.Listen || slices.ContainsFunc(others, func(o Peer) bool { return o.Address == peer.Address }) {
 			return invalid(field+".address", "%s is there twice", peer.Address)
 		}
-		if regions[peer.Region]++; regions[peer.Region] > maxAggregators {
-			return invalid(field+".region", "more than %d aggregators in %s", maxAggregators, peer.Region)
+		if regions[peer.Region]++; regions[peer.Region] > maxAggregatorsPerRegion {
+			return invalid(field+".region", "more than %d aggregators in %s", maxAggregatorsPerRegion, peer.Region)
 		}
 		if len(regions) > maxRegions {
 			return invalid(field+".region", "more than %d regions", maxRegions)
@@ -253,9 +256,11 @@
 	return nil
 }
 
-func checkFreshness(freshness time.Duration, times int, field string, interval time.Duration) error {
-	if freshness < time.Duration(times)*interval || freshness > maxFreshness {
-		return invalid("freshness", "%v, %d times %s (%v) to %v are possible", freshness, times, field, interval, maxFreshness)
+// checkFreshness checks that the freshness has at least minIntervals of an interval, which the configuration has in field.
+func checkFreshness(freshness time.Duration, minIntervals int, field string, interval time.Duration) error {
+	if freshness < time.Duration(minIntervals)*interval || freshness > maxFreshness {
+		return invalid("freshness", "%v, %d times %s (%v) to %v are possible", freshness, minIntervals, field, interval,
+			maxFreshness)
 	}
 	return nil
 }
@@ -267,9 +272,9 @@
 	return nil
 }
 
-func checkLimit(field string, limit, most int) error {
-	if limit < 1 || limit > most {
-		return invalid(field, "%d, 1 to %d are possible", limit, most)
+func checkLimit(field string, limit, largest int) error {
+	if limit < 1 || limit > largest {
+		return invalid(field, "%d, 1 to %d are possible", limit, largest)
 	}
 	return nil
 }
--- a/internal/sharing/digest_test.go
+++ b/internal/sharing/digest_test.go
@@ -9,8 +9,9 @@
 	"chalkferry/internal/aggregation"
 )
 
-// TestDigestAsMade: a digest that goes out later in its interval has the head of when its entries were made, but for
-// its ages: with a later head it would say that all members are heard, though the entries lack the last one's.
+// TestDigestAsMade: a digest that is sent later in its interval keeps the head from the time when its entries were made,
+// except for the ages. With a newer head it would claim that all members are heard, although the entries lack those of
+// the latest member.
 func TestDigestAsMade(t *testing.T) {
 	config := DefaultAggregatorConfig()
 	config.Name, config.Region, config.Listen = "west-a", "west", loopback
@@ -18,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	end, err := listen(loopback, 8, newWarnings(zerolog.Nop(), time.Second))
+	end, err := listen(loopback, 8, newDropLog(zerolog.Nop(), time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,12 +28,12 @@
 	a := &Aggregator{config: config, log: zerolog.Nop(), state: state, endpoint: end, members: newAddressBook(),
 		digests: newBroadcast(config.DigestInterval), heartbeats: newBroadcast(config.HeartbeatInterval)}
 	const later = 100 * time.Millisecond
-	subscriber := aggregation.MemberID(later) // whose instant of the interval that is
+	subscriber := aggregation.MemberID(later) // an ID whose instant in the interval is later
 	report := func(now time.Duration, member aggregation.MemberID) {
 		outcome, _ := state.ReceiveReport(now, aggregation.Report{Member: member, Incarnation: 1, Number: 1, Zone: "west-1",
 			Keys: 1, Subscribe: aggregatorID("west-a"), Entries: []aggregation.Entry{{Kind: aggregation.ByServer, ID: 1, Value: 3}}})
 		if outcome != aggregation.Accepted {
-			t.Fatalf("a report is %v", outcome)
+			t.Fatalf("outcome of a report: %v", outcome)
 		}
 	}
 	start := 1000 * config.DigestInterval
@@ -50,9 +51,9 @@
 			t.Fatalf("received %+v", d.content)
 		}
 		if region := digest.Regions[0]; digest.Entries[0].Value != 3 || region.Members != 1 || region.Age < later {
-			t.Errorf("of one member's entries it says %+v", digest)
+			t.Errorf("digest with the entries of one member: %+v", digest)
 		}
 	case <-time.After(waitLimit):
-		t.Fatal("no digest")
+		t.Fatalf("no digest within %v", waitLimit)
 	}
 }
--- a/internal/sharing/endpoint.go
+++ b/internal/sharing/endpoint.go
@@ -14,21 +14,21 @@
 	"chalkferry/internal/failure"
 )
 
-// datagram is a message that was received.
+// datagram is a received message with its source address.
 type datagram struct {
 	from    netip.AddrPort
 	content message
 }
 
-// endpoint is the UDP socket of a member or aggregator, and what became of its datagrams.
+// endpoint is the UDP socket of a member or aggregator, with counters of its datagrams.
 type endpoint struct {
 	conn     Socket
 	received chan datagram
 	counters datagramCounters
-	warnings *warnings
+	drops    *dropLog
 }
 
-// datagramCounters are written by the goroutine that reads the socket and the one that owns the state.
+// datagramCounters are atomic as both the goroutine that reads the socket and the one that owns the state write them.
 type datagramCounters struct {
 	sent, notSent                      atomic.Uint64
 	sentBytes, receivedBytes           atomic.Uint64
@@ -38,12 +38,12 @@
 	refused, noRoom, queueFull         atomic.Uint64
 }
 
-// Datagrams counts datagrams by what became of them.
+// Datagrams counts datagrams since the start by their outcome.
 type Datagrams struct {
 	Sent          uint64 `json:"sent"`
-	SentBytes     uint64 `json:"sent_bytes"`     // without the headers of UDP and IP
-	ReceivedBytes uint64 `json:"received_bytes"` // the same, of all that was read from the socket
-	NotSent       uint64 `json:"not_sent"`       // the network refused them
+	SentBytes     uint64 `json:"sent_bytes"`     // payload, without UDP and IP headers
+	ReceivedBytes uint64 `json:"received_bytes"` // payload of all datagrams read from the socket
+	NotSent       uint64 `json:"not_sent"`       // the send call returned an error
 	Accepted      uint64 `json:"accepted"`
 	Duplicate     uint64 `json:"duplicate"`
 	Obsolete      uint64 `json:"obsolete"`
@@ -53,42 +53,43 @@
 	TooLong       uint64 `json:"too_long"`
 	Malformed     uint64 `json:"malformed"`
 	OtherVersion  uint64 `json:"other_version"`
-	QueueFull     uint64 `json:"queue_full"`     // dropped by this process, as more came than it could take
-	SocketDropped uint64 `json:"socket_dropped"` // dropped by the kernel, as the socket's buffer was full
+	QueueFull     uint64 `json:"queue_full"`     // dropped by this process because its receive queue was full
+	SocketDropped uint64 `json:"socket_dropped"` // dropped by the kernel because the socket's receive buffer was full
 }
 
 func (c *datagramCounters) snapshot() Datagrams {
 	return Datagrams{
-		Sent: c.sent.Load(), SentBytes: c.sentBytes.Load(), ReceivedBytes: c.receivedBytes.Load(), NotSent: c.notSent.Load(), Accepted: c.accepted.Load(), Duplicate: c.duplicate.Load(),
+		Sent: c.sent.Load(), SentBytes: c.sentBytes.Load(), ReceivedBytes: c.receivedBytes.Load(), NotSent: c.notSent.Load(),
+		Accepted: c.accepted.Load(), Duplicate: c.duplicate.Load(),
 		Obsolete: c.obsolete.Load(), Refused: c.refused.Load(), UnknownSender: c.unknownSender.Load(),
 		NoRoom: c.noRoom.Load(), TooLong: c.tooLong.Load(), Malformed: c.malformed.Load(),
 		OtherVersion: c.otherVersion.Load(), QueueFull: c.queueFull.Load(),
 	}
 }
 
-// listen opens the socket and begins to read it into a queue of so many messages.
-func listen(address netip.AddrPort, queue int, warnings *warnings) (*endpoint, error) {
+// listen opens the socket with a receive queue of queueLength messages. It does not start to read.
+func listen(address netip.AddrPort, queueLength int, drops *dropLog) (*endpoint, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, err
 	}
-	return &endpoint{conn: conn, received: make(chan datagram, queue), warnings: warnings}, nil
+	return &endpoint{conn: conn, received: make(chan datagram, queueLength), drops: drops}, nil
 }
 
-// address is where the socket is bound.
+// address returns the local address of the socket.
 func (e *endpoint) address() netip.AddrPort { return e.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// read decodes what comes until the socket is closed. Messages that find the queue full are dropped: a flood costs
-// what is in the queue and no more memory.
+// read decodes datagrams into the queue until the socket is closed. Messages are dropped while the queue is full, so that
+// a flood takes no more memory than the queue.
 func (e *endpoint) read() {
-	buffer := make([]byte, maxDatagramBytes+1) // what is longer is cut, and dropped as too long
+	buffer := make([]byte, maxDatagramBytes+1) // a longer datagram is truncated, and dropped as too long
 	var pause failure.BackOff
 	for {
 		size, from, err := e.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // an earlier datagram found nobody, or a resource is short; the next one may do better
+		if err != nil { // an earlier datagram was not delivered, or a resource is exhausted; later reads may succeed
 			time.Sleep(pause.Next())
 			continue
 		}
@@ -107,7 +108,7 @@
 	}
 }
 
-// send sends a datagram, which may be lost like any.
+// send sends a datagram. Errors are only counted, as any datagram may be lost.
 func (e *endpoint) send(encoded []byte, to netip.AddrPort) {
 	if _, err := e.conn.WriteToUDPAddrPort(encoded, to); err != nil {
 		e.counters.notSent.Add(1)
@@ -117,7 +118,7 @@
 	e.counters.sentBytes.Add(uint64(len(encoded)))
 }
 
-// countError counts a datagram that can't be read.
+// countError counts and logs a datagram that can't be decoded.
 func (e *endpoint) countError(from netip.AddrPort, err error) {
 	reason := errMalformed
 	switch {
@@ -130,10 +131,11 @@
 	default:
 		e.counters.malformed.Add(1)
 	}
-	e.warnings.dropped(reason.Error(), from, err)
+	e.drops.logDropped(reason.Error(), from, err)
 }
 
-// countOutcome counts a message by what the logic made of it.
+// countOutcome counts a message by its outcome in package aggregation, and logs it unless it was accepted, a duplicate or
+// obsolete.
 func (e *endpoint) countOutcome(from netip.AddrPort, outcome aggregation.Outcome) {
 	switch outcome {
 	case aggregation.Accepted:
@@ -144,39 +146,39 @@
 		e.counters.obsolete.Add(1)
 	case aggregation.Refused:
 		e.counters.refused.Add(1)
-		e.warnings.dropped(outcome.String(), from, nil)
+		e.drops.logDropped(outcome.String(), from, nil)
 	case aggregation.NoRoom:
 		e.counters.noRoom.Add(1)
-		e.warnings.dropped(outcome.String(), from, nil)
+		e.drops.logDropped(outcome.String(), from, nil)
 	case aggregation.UnknownSender:
 		e.counters.unknownSender.Add(1)
-		e.warnings.dropped(errUnknownSender.Error(), from, nil)
+		e.drops.logDropped(errUnknownSender.Error(), from, nil)
 	default:
 		e.counters.malformed.Add(1)
-		e.warnings.dropped(errMalformed.Error(), from, nil)
+		e.drops.logDropped(errMalformed.Error(), from, nil)
 	}
 }
 
-// warnings logs one dropped datagram of each reason in a span, so that a flood doesn't fill the log.
-type warnings struct {
-	log  zerolog.Logger
-	span time.Duration
+// dropLog logs dropped datagrams, at most one per reason and interval, so that a flood doesn't fill the log.
+type dropLog struct {
+	log      zerolog.Logger
+	interval time.Duration
 
-	mu   sync.Mutex
-	last map[string]time.Duration
+	mu         sync.Mutex
+	lastLogged map[string]time.Duration // by reason
 }
 
-func newWarnings(log zerolog.Logger, span time.Duration) *warnings {
-	return &warnings{log: log, span: span, last: map[string]time.Duration{}}
+func newDropLog(log zerolog.Logger, interval time.Duration) *dropLog {
+	return &dropLog{log: log, interval: interval, lastLogged: map[string]time.Duration{}}
 }
 
-func (w *warnings) dropped(reason string, from netip.AddrPort, err error) {
-	now := boot()
+func (w *dropLog) logDropped(reason string, from netip.AddrPort, err error) {
+	now := bootTime()
 	w.mu.Lock()
-	last, known := w.last[reason]
-	isDue := !known || now-last >= w.span
+	last, known := w.lastLogged[reason]
+	isDue := !known || now-last >= w.interval
 	if isDue {
-		w.last[reason] = now
+		w.lastLogged[reason] = now
 	}
 	w.mu.Unlock()
 	if isDue {
--- a/internal/sharing/file.go
+++ b/internal/sharing/file.go
@@ -8,14 +8,14 @@
 	"chalkferry/internal/strict"
 )
 
-// memberFile is the file of serve --fleet.
+// memberFile is the content of the file that serve --fleet reads.
 type memberFile struct {
-	Name        string           `toml:"name"`
-	Region      string           `toml:"region"`
-	Zone        string           `toml:"zone"`
-	Listen      string           `toml:"listen"`
-	Aggregators []aggregatorLine `toml:"aggregators"`
-	Status      string           `toml:"status"`
+	Name        string            `toml:"name"`
+	Region      string            `toml:"region"`
+	Zone        string            `toml:"zone"`
+	Listen      string            `toml:"listen"`
+	Aggregators []aggregatorEntry `toml:"aggregators"`
+	Status      string            `toml:"status"`
 
 	ReportInterval strict.Span `toml:"report_interval"`
 	Freshness      strict.Span `toml:"freshness"`
@@ -24,18 +24,18 @@
 	ChangeShare    float64     `toml:"change_share"`
 }
 
-type aggregatorLine struct {
+type aggregatorEntry struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
 }
 
-// aggregatorFile is the file of the command aggregate.
+// aggregatorFile is the content of the file that the command aggregate reads.
 type aggregatorFile struct {
-	Name   string     `toml:"name"`
-	Region string     `toml:"region"`
-	Listen string     `toml:"listen"`
-	Peers  []peerLine `toml:"peers"`
-	Status string     `toml:"status"`
+	Name   string      `toml:"name"`
+	Region string      `toml:"region"`
+	Listen string      `toml:"listen"`
+	Peers  []peerEntry `toml:"peers"`
+	Status string      `toml:"status"`
 
 	DigestInterval    strict.Span `toml:"digest_interval"`
 	ExchangeInterval  strict.Span `toml:"exchange_interval"`
@@ -48,13 +48,13 @@
 	Keys              int         `toml:"keys"`
 }
 
-type peerLine struct {
+type peerEntry struct {
 	Name    string `toml:"name"`
 	Region  string `toml:"region"`
 	Address string `toml:"address"`
 }
 
-// ReadMember reads the file of serve --fleet. An error names the line.
+// ReadMember reads and validates the file of serve --fleet. An error in the content names the line.
 func ReadMember(name string) (*MemberConfig, error) {
 	config := DefaultMemberConfig()
 	content := memberFile{
@@ -83,12 +83,12 @@
 		return nil, addresses.err
 	}
 	if err := config.Validate(); err != nil {
-		return nil, atLine(file, err)
+		return nil, withLine(file, err)
 	}
 	return &config, nil
 }
 
-// ReadAggregator reads the file of the command aggregate. An error names the line.
+// ReadAggregator reads and validates the file of the command aggregate. An error in the content names the line.
 func ReadAggregator(name string) (*AggregatorConfig, error) {
 	config := DefaultAggregatorConfig()
 	content := aggregatorFile{
@@ -124,12 +124,13 @@
 		return nil, addresses.err
 	}
 	if err := config.Validate(); err != nil {
-		return nil, atLine(file, err)
+		return nil, withLine(file, err)
 	}
 	return &config, nil
 }
 
-// ReadStatusAddress reads the status address from a file of either kind.
+// ReadStatusAddress returns the status address from a member's or an aggregator's file. It returns an error if the file is
+// neither, or has no status address.
 func ReadStatusAddress(name string) (netip.AddrPort, error) {
 	address := netip.AddrPort{}
 	member, err := ReadMember(name)
@@ -148,7 +149,7 @@
 	return address, nil
 }
 
-// addressReader reads addresses and keeps the first error.
+// addressReader parses addresses and keeps the first error, so that the caller checks once.
 type addressReader struct {
 	file *strict.File
 	err  error
@@ -169,11 +170,11 @@
 	return r.read(field, text)
 }
 
-// atLine adds the line to an error of Validate.
-func atLine(file *strict.File, err error) error {
-	var wrong *ConfigError
-	if errors.As(err, &wrong) {
-		return file.Errorf(wrong.Field, "%s", wrong.Reason)
+// withLine adds the file name and line to an error of Validate.
+func withLine(file *strict.File, err error) error {
+	var configError *ConfigError
+	if errors.As(err, &configError) {
+		return file.Errorf(configError.Field, "%s", configError.Reason)
 	}
 	return err
 }
--- a/internal/sharing/file_test.go
+++ b/internal/sharing/file_test.go
@@ -30,7 +30,7 @@
 address = "127.0.0.1:7003"
 `
 
-// writeFile writes a text under a name that the errors have in them.
+// writeFile writes a text to a file f.toml and returns its path. Errors contain this name.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "f.toml")
@@ -40,7 +40,7 @@
 	return name
 }
 
-// expectError fails unless the error has the text, or is nil where the text is empty.
+// expectError fails the test unless the error contains want, or is nil if want is "".
 func expectError(t *testing.T, err error, want string) {
 	t.Helper()
 	if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestReadMember: a file that can't be is refused with its line and what is wrong.
+// TestReadMember: a valid member's file is read, and an invalid one is refused with line and reason.
 func TestReadMember(t *testing.T) {
 	replaced := func(old, new string) string { return strings.Replace(goodMember, old, new, 1) }
 	for text, want := range map[string]string{
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestReadAggregator: the same for an aggregator's file.
+// TestReadAggregator: a valid aggregator's file is read, and an invalid one is refused with line and reason.
 func TestReadAggregator(t *testing.T) {
 	replaced := func(old, new string) string { return strings.Replace(goodAggregator, old, new, 1) }
 	added := func(line string) string { return line + "\n" + goodAggregator }
@@ -127,7 +127,7 @@
 	}
 }
 
-// TestReadStatusAddress: of a file of either kind; one of neither is refused with both reasons.
+// TestReadStatusAddress: the address is read from both kinds of files, and other files are refused.
 func TestReadStatusAddress(t *testing.T) {
 	for text, want := range map[string]string{
 		"status = \"127.0.0.1:7100\"\n" + goodMember:     "",
@@ -143,7 +143,7 @@
 	}
 }
 
-// TestDefaults: the defaults are those that docs/fleet.md has, and are valid.
+// TestDefaults: the defaults are valid and are those that docs/fleet.md documents.
 func TestDefaults(t *testing.T) {
 	member, err := ReadMember(writeFile(t, goodMember))
 	if err != nil {
@@ -165,7 +165,7 @@
 	}
 }
 
-// TestExamples: the files that operators begin with are good.
+// TestExamples: the example files in deploy/fleet are valid.
 func TestExamples(t *testing.T) {
 	if _, err := ReadMember("../../deploy/fleet/member.toml"); err != nil {
 		t.Error(err)
--- a/internal/sharing/largest_test.go
+++ b/internal/sharing/largest_test.go
@@ -14,8 +14,8 @@
 
 var longName = strings.Repeat("r", aggregation.MaxNameBytes)
 
-// TestLargestMessages: with the largest value in each field, and as many entries as the logic puts into one, a message
-// still fits its datagram.
+// TestLargestMessages: a message with the largest value in each field and the largest number of entries that package
+// aggregation puts into it fits into a datagram.
 func TestLargestMessages(t *testing.T) {
 	member, aggregator := largestState(t)
 	report, sum, digest, heartbeat := member.Report(0), aggregator.RegionSum(0), aggregator.Digest(0), aggregator.Heartbeat(0)
@@ -24,7 +24,7 @@
 	sum.Aggregator, sum.Incarnation, sum.Number, sum.Since = maxU64, maxU64, maxU64, maxU64
 	sum.Members, sum.Heard, sum.Age, sum.Slack = math.MaxUint32, 1.0/3, math.MaxInt64, maxU64
 	sum.Fading, sum.Keys = maxU64, math.MaxUint32
-	largest := func(d *aggregation.Digest) {
+	fillDigest := func(d *aggregation.Digest) {
 		d.Aggregator, d.Incarnation, d.Number, d.Since = maxU64, maxU64, maxU64, maxU64
 		d.Heartbeat, d.Keys, d.Slack = maxU64, math.MaxUint32, maxU64
 		for i := range d.Regions {
@@ -32,8 +32,8 @@
 				Heard: 1.0 / 3, Weight: 1.0 / 3, Age: math.MaxInt64, Slack: maxU64, Fading: maxU64}
 		}
 	}
-	largest(&digest)
-	largest(&heartbeat)
+	fillDigest(&digest)
+	fillDigest(&heartbeat)
 	for name, c := range map[string]struct {
 		content message
 		entries []aggregation.Entry
@@ -52,13 +52,13 @@
 			t.Errorf("%s: only %d bytes, so this is not the largest", name, len(datagram))
 		}
 		if received, err := decode(datagram); err != nil || !reflect.DeepEqual(received, c.content) {
-			t.Errorf("%s: received as %+v: %v", name, received, err)
+			t.Errorf("%s: decoded as %+v: %v", name, received, err)
 		}
 	}
 }
 
-// largestState is a member with more keys than fit a datagram, and an aggregator that has received them and knows as
-// many regions as there may be.
+// largestState returns a member with more keys than fit into a datagram, and an aggregator that has received them and
+// has the largest number of regions.
 func largestState(t *testing.T) (*aggregation.Member, *aggregation.Aggregator) {
 	t.Helper()
 	const keys = 500
@@ -83,7 +83,7 @@
 	}
 	for range 100 {
 		if outcome, _ := aggregator.ReceiveReport(0, member.Report(0)); outcome != aggregation.Accepted {
-			t.Fatalf("a report is %v", outcome)
+			t.Fatalf("outcome of a report: %v", outcome)
 		}
 	}
 	return member, aggregator
--- a/internal/sharing/member.go
+++ b/internal/sharing/member.go
@@ -9,11 +9,11 @@
 	"chalkferry/internal/aggregation"
 )
 
-// memberQueue is how many received messages of a member may wait: some ten come in a second.
-const memberQueue = 64
+// memberQueueLength is how many received messages can wait at a member, which receives about ten per second.
+const memberQueueLength = 64
 
-// Member is a proxy's end: it reports what the proxy holds to the aggregators of its region, and receives the sums
-// over the fleet.
+// Member is the part of a proxy that reports the proxy's session counts to the aggregators of its region, and receives
+// the sums over the fleet from them. Its methods may be called from any goroutine.
 type Member struct {
 	config   MemberConfig
 	log      zerolog.Logger
@@ -21,20 +21,20 @@
 	endpoint *endpoint
 	status   *statusServer
 	names    aggregatorNames
-	facts    *factSet
+	counts   *publishedCounts
 
-	published chan []Fact
-	asks      chan chan MemberStatus
-	figures   chan figureRequest
-	context   context.Context
-	stop      context.CancelFunc
-	done      sync.WaitGroup
+	published      chan []SessionCount
+	statusRequests chan chan MemberStatus
+	figureRequests chan figureRequest
+	context        context.Context
+	stop           context.CancelFunc
+	done           sync.WaitGroup
 
-	wasSuperseded bool // the log has it
+	supersededLogged bool // that another process has this member's name
 }
 
-// StartMember opens the socket, and the status where the configuration names an address, and begins to send and
-// receive. Errors are those of Validate and of the two addresses.
+// StartMember opens the socket, and the status server if the configuration has an address for it, and begins to send and
+// receive. It returns an error if the configuration is invalid or if one of the two addresses can't be used.
 func StartMember(config MemberConfig, log zerolog.Logger) (*Member, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	end, err := listen(config.Listen, memberQueue, newWarnings(log, config.Freshness+config.Decay))
+	end, err := listen(config.Listen, memberQueueLength, newDropLog(log, config.Freshness+config.Decay))
 	if err != nil {
 		return nil, err
 	}
@@ -51,7 +51,8 @@
 		end.conn = config.WrapSocket(end.conn)
 	}
 	m := &Member{config: config, log: log, state: state, endpoint: end, names: aggregatorNames{},
-		facts: newFactSet(config.MaxKeys), published: make(chan []Fact, 1), asks: make(chan chan MemberStatus), figures: make(chan figureRequest)}
+		counts: newPublishedCounts(config.MaxKeys), published: make(chan []SessionCount, 1),
+		statusRequests: make(chan chan MemberStatus), figureRequests: make(chan figureRequest)}
 	m.context, m.stop = context.WithCancel(context.Background())
 	for _, a := range config.Aggregators {
 		m.names[aggregatorID(a.Name)] = aggregatorName{name: a.Name, address: a.Address.String()}
@@ -74,19 +75,20 @@
 	for _, a := range config.Aggregators {
 		logic.Aggregators = append(logic.Aggregators, aggregatorID(a.Name))
 	}
-	return aggregation.NewMember(boot(), logic)
+	return aggregation.NewMember(bootTime(), logic)
 }
 
-// Publish takes all that the proxy holds now. It never waits: facts that come before the ones before were taken are
-// dropped, as the next come soon.
-func (m *Member) Publish(facts []Fact) {
+// Publish replaces the published counts: it takes all session counts of the proxy, and names that are missing count as 0.
+// It never blocks. If the previous counts are still waiting to be processed, the new ones are dropped, as the next
+// publication follows soon. The slice must not be changed after the call.
+func (m *Member) Publish(counts []SessionCount) {
 	select {
-	case m.published <- facts:
+	case m.published <- counts:
 	default:
 	}
 }
 
-// Close ends it and waits until its goroutines have ended.
+// Close stops the member and waits until its goroutines have ended.
 func (m *Member) Close() {
 	m.stop()
 	m.endpoint.conn.Close()
@@ -94,26 +96,26 @@
 	m.done.Wait()
 }
 
-// StatusAddress is where the status is served, "" for nowhere.
+// StatusAddress returns the address that the status is served at, or "" if it is not served.
 func (m *Member) StatusAddress() string { return m.status.address() }
 
-// Status is the state now; false if it has ended.
+// Status returns the current status; false if the member was closed.
 func (m *Member) Status() (MemberStatus, bool) {
-	return askFor(m.context, m.asks)
+	return requestStatus(m.context, m.statusRequests)
 }
 
-// askFor has the goroutine that owns a state answer.
-func askFor[T any](ctx context.Context, asks chan<- chan T) (answer T, ok bool) {
+// requestStatus gets the status from the goroutine that owns the state. ok is false if ctx ends before.
+func requestStatus[T any](ctx context.Context, requests chan<- chan T) (status T, ok bool) {
 	reply := make(chan T, 1)
 	select {
-	case asks <- reply:
+	case requests <- reply:
 		return <-reply, true
 	case <-ctx.Done():
-		return answer, false
+		return status, false
 	}
 }
 
-// run owns the state.
+// run is the goroutine that owns the state. It returns when the member is closed.
 func (m *Member) run() {
 	report := newPacer(m.config.ReportInterval)
 	defer report.stop()
@@ -121,27 +123,27 @@
 		select {
 		case <-m.context.Done():
 			return
-		case facts := <-m.published:
-			m.facts.publish(facts, m.set)
+		case counts := <-m.published:
+			m.counts.publish(counts, m.set)
 		case d := <-m.endpoint.received:
 			m.receive(d)
 		case <-report.C:
 			report.ticked()
 			m.report()
-		case reply := <-m.asks:
+		case reply := <-m.statusRequests:
 			reply <- m.currentStatus()
-		case request := <-m.figures:
-			request.reply <- m.state.Figure(boot(), request.key)
+		case request := <-m.figureRequests:
+			request.reply <- m.state.Figure(bootTime(), request.key)
 		}
 	}
 }
 
-// set drops a key for which there is no room: the logic counts it.
+// set sets the value of a key. A key for which there is no room is dropped, and counted by aggregation.Member.
 func (m *Member) set(k aggregation.Key, value uint64) { m.state.Set(k, value) }
 
-// report sends one datagram to all aggregators of the region.
+// report sends the same report to all aggregators of the region.
 func (m *Member) report() {
-	encoded, err := encode(m.state.Report(boot()))
+	encoded, err := encode(m.state.Report(bootTime()))
 	if err != nil {
 		m.log.Error().Err(err).Msg("a report can't be sent")
 		return
@@ -152,27 +154,27 @@
 }
 
 func (m *Member) receive(d datagram) {
-	outcome := aggregation.UnknownSender // of what only aggregators receive
+	outcome := aggregation.UnknownSender // for messages that only aggregators receive
 	switch content := d.content.(type) {
 	case aggregation.Digest:
-		outcome = m.state.ReceiveDigest(boot(), content)
+		outcome = m.state.ReceiveDigest(bootTime(), content)
 	case aggregation.Refusal:
-		outcome = m.state.ReceiveRefusal(boot(), content)
-		m.noteSuperseded()
+		outcome = m.state.ReceiveRefusal(bootTime(), content)
+		m.logSuperseded()
 	}
 	m.endpoint.countOutcome(d.from, outcome)
 }
 
-// noteSuperseded logs once that another process has this one's name.
-func (m *Member) noteSuperseded() {
-	if m.state.Superseded() && !m.wasSuperseded {
-		m.wasSuperseded = true
+// logSuperseded logs once that a later process has this member's name.
+func (m *Member) logSuperseded() {
+	if m.state.Superseded() && !m.supersededLogged {
+		m.supersededLogged = true
 		m.log.Error().Str("name", m.config.Name).Msg("a later process has this member's name; this one is not counted")
 	}
 }
 
 func (m *Member) currentStatus() MemberStatus {
-	now := boot()
+	now := bootTime()
 	s := MemberStatus{
 		StatusHead: StatusHead{Role: RoleMember, Name: m.config.Name, Region: m.config.Region, Zone: m.config.Zone,
 			Listen: m.endpoint.address().String(), Incarnation: m.state.Incarnation()},
@@ -190,7 +192,7 @@
 		s.Regions = append(s.Regions, m.names.regionStatus(r))
 	}
 	for _, k := range m.state.Keys() {
-		s.Sums = append(s.Sums, sumStatus(k, m.facts.name(k), m.state.Figure(now, k)))
+		s.Sums = append(s.Sums, sumStatus(k, m.counts.name(k), m.state.Figure(now, k)))
 	}
 	return s
 }
--- a/internal/sharing/socket.go
+++ b/internal/sharing/socket.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Socket is what a member or aggregator needs of a *net.UDPConn.
+// Socket is the part of *net.UDPConn that a member or aggregator uses.
 type Socket interface {
 	ReadFromUDPAddrPort(buffer []byte) (size int, from netip.AddrPort, err error)
 	WriteToUDPAddrPort(datagram []byte, to netip.AddrPort) (size int, err error)
@@ -20,7 +20,8 @@
 	Close() error
 }
 
-// setBuffers asks for socket buffers of so many bytes in each direction. The kernel grants no more than its limits.
+// setBuffers requests socket buffers of a size in bytes for each direction. The kernel may grant less, by its limits
+// net.core.rmem_max and net.core.wmem_max.
 func (e *endpoint) setBuffers(bytes int) error {
 	if err := e.conn.SetReadBuffer(bytes); err != nil {
 		return err
@@ -28,8 +29,8 @@
 	return e.conn.SetWriteBuffer(bytes)
 }
 
-// socketState returns the datagrams that the kernel dropped as the receive buffer was full, and the bytes of that
-// buffer; 0 where the kernel does not say.
+// socketState returns the number of datagrams that the kernel dropped because the receive buffer was full, and the size
+// of that buffer in bytes. A value that the kernel does not provide is 0.
 func (e *endpoint) socketState() (dropped uint64, bufferBytes int) {
 	raw, err := e.conn.SyscallConn()
 	if err != nil {
@@ -38,16 +39,16 @@
 	var stat unix.Stat_t
 	err = raw.Control(func(fd uintptr) {
 		bufferBytes, _ = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF)
-		unix.Fstat(int(fd), &stat) // on an error no inode of 0 is found
+		unix.Fstat(int(fd), &stat) // on an error stat.Ino stays 0, which no socket has
 	})
 	if err != nil {
 		return 0, 0
 	}
-	return droppedAt(stat.Ino), bufferBytes
+	return dropsOfInode(stat.Ino), bufferBytes
 }
 
-// droppedAt returns the drops of the UDP socket with an inode.
-func droppedAt(inode uint64) uint64 {
+// dropsOfInode returns the number of datagrams that were dropped at the UDP socket with an inode, or 0 if not known.
+func dropsOfInode(inode uint64) uint64 {
 	proc, err := procfs.NewDefaultFS()
 	if err != nil {
 		return 0
--- a/internal/sharing/status.go
+++ b/internal/sharing/status.go
@@ -7,7 +7,7 @@
 	"chalkferry/internal/aggregation"
 )
 
-// Role says which kind of process a status is of.
+// Role is the kind of process that a status comes from.
 type Role string
 
 const (
@@ -15,17 +15,17 @@
 	RoleAggregator Role = "aggregator"
 )
 
-// StatusHead is what the two kinds of status begin with.
+// StatusHead has the fields that both kinds of status begin with.
 type StatusHead struct {
 	Role        Role                    `json:"role"`
 	Name        string                  `json:"name"`
 	Region      string                  `json:"region"`
-	Zone        string                  `json:"zone,omitempty"`
-	Listen      string                  `json:"listen"`
+	Zone        string                  `json:"zone,omitempty"` // of a member
+	Listen      string                  `json:"listen"`         // local address of the UDP socket
 	Incarnation aggregation.Incarnation `json:"incarnation"`
 }
 
-// MemberStatus is what a proxy believes of its fleet.
+// MemberStatus is a member's view of the fleet.
 type MemberStatus struct {
 	StatusHead
 	Superseded  bool               `json:"superseded"` // a later process has the same name
@@ -36,7 +36,7 @@
 	Dropped     DroppedStatus      `json:"dropped"`
 }
 
-// AggregatorProcessStatus is what an aggregator believes of its region and of the fleet.
+// AggregatorProcessStatus is an aggregator's view of its region and of the fleet.
 type AggregatorProcessStatus struct {
 	StatusHead
 	Members      MembersStatus      `json:"members"`
@@ -46,55 +46,55 @@
 	Limits       LimitsStatus       `json:"limits"`
 	Datagrams    Datagrams          `json:"datagrams"`
 	Dropped      DroppedStatus      `json:"dropped"`
-	SocketBuffer int                `json:"socket_buffer_bytes"` // as the kernel granted it
+	SocketBuffer int                `json:"socket_buffer_bytes"` // of the receive buffer, as granted by the kernel
 }
 
-// AggregatorStatus is one aggregator as another process knows it.
+// AggregatorStatus is another process's view of one aggregator.
 type AggregatorStatus struct {
 	Name        string                  `json:"name"`
 	Region      string                  `json:"region"`
 	Address     string                  `json:"address"`
-	Known       bool                    `json:"known"` // a datagram of it was accepted
+	Known       bool                    `json:"known"` // a datagram from it was accepted
 	Incarnation aggregation.Incarnation `json:"incarnation,omitempty"`
-	AgeMS       int64                   `json:"age_ms"`
-	InUse       bool                    `json:"in_use"`     // its sums count
-	Subscribed  bool                    `json:"subscribed"` // digests are asked of it
-	Members     uint32                  `json:"members"`    // that its sums are about
-	Heard       float64                 `json:"heard"`      // share of them that is fresh and fully received
-	Keys        int                     `json:"keys"`       // received of it
-	KeysSent    uint32                  `json:"keys_sent"`  // that it says it has
+	AgeMS       int64                   `json:"age_ms"`     // of the latest datagram from it, in milliseconds
+	InUse       bool                    `json:"in_use"`     // this process uses its sums
+	Subscribed  bool                    `json:"subscribed"` // this member requests digests from it
+	Members     uint32                  `json:"members"`    // number of members in its sums
+	Heard       float64                 `json:"heard"`      // share of these members whose reports are fresh and complete, 0 to 1
+	Keys        int                     `json:"keys"`       // number of keys received from it
+	KeysSent    uint32                  `json:"keys_sent"`  // number of keys that it says it has
 }
 
-// RegionStatus is one region: where its sums come from and how good they are.
+// RegionStatus is the source and the quality of the sums over one region.
 type RegionStatus struct {
 	Region  string  `json:"region"`
-	Source  string  `json:"source"` // an aggregator's name, or its number where this process does not know the name
+	Source  string  `json:"source"` // the aggregator's name, or its ID if this process does not know the name
 	Members uint32  `json:"members"`
 	Heard   float64 `json:"heard"`
 	AgeMS   int64   `json:"age_ms"`
-	Slack   uint64  `json:"slack"`  // bound on the error by what was not sent
-	Weight  float64 `json:"weight"` // 1: its sums count in full
-	Fading  uint64  `json:"fading"` // bound on the error by what is no longer heard
+	Slack   uint64  `json:"slack"`  // bound on the error from changes that were not sent yet, in sessions
+	Weight  float64 `json:"weight"` // 0 to 1; 1: its sums count in full
+	Fading  uint64  `json:"fading"` // bound on the error from members or a region no longer heard, in sessions
 }
 
-// SumStatus is a sum over the fleet.
+// SumStatus is the sum of sessions over the fleet for one server, listener or tenant.
 type SumStatus struct {
 	Kind  string  `json:"kind"`
-	Name  string  `json:"name"` // a number where this process has not published the name itself
+	Name  string  `json:"name"` // a hash if this process has not published the name itself
 	Value float64 `json:"value"`
-	Error float64 `json:"error"`
+	Error float64 `json:"error"` // bound on the difference from the true sum
 	AgeMS int64   `json:"age_ms"`
 	Heard float64 `json:"heard"`
 }
 
-// MembersStatus is how many members an aggregator knows, and each of them.
+// MembersStatus has the members that an aggregator knows.
 type MembersStatus struct {
 	Known int                 `json:"known"`
-	Fresh int                 `json:"fresh"` // count in full
+	Fresh int                 `json:"fresh"` // number of members that count in full
 	Each  []KnownMemberStatus `json:"each"`
 }
 
-// KnownMemberStatus is one member as an aggregator knows it. Reports have a number made of the name, not the name.
+// KnownMemberStatus is an aggregator's view of one member. The ID is a hash, as reports don't contain the member's name.
 type KnownMemberStatus struct {
 	ID          string                  `json:"id"`
 	Zone        string                  `json:"zone"`
@@ -108,19 +108,19 @@
 	Subscribed  bool                    `json:"subscribed"`
 }
 
-// LimitsStatus are the limits of an aggregator.
+// LimitsStatus has the configured limits of an aggregator.
 type LimitsStatus struct {
-	Members    int `json:"members"`
-	MemberKeys int `json:"member_keys"`
-	Keys       int `json:"keys"`
+	Members    int `json:"members"`     // of the region
+	MemberKeys int `json:"member_keys"` // of one member
+	Keys       int `json:"keys"`        // of the region and of the fleet
 }
 
-// DroppedStatus is what was dropped at a limit, and what the process found out about itself.
+// DroppedStatus counts what was dropped at a limit, and irregularities of the process itself.
 type DroppedStatus struct {
-	Keys         uint64 `json:"keys"`         // entries for which there was no room
-	Members      uint64 `json:"members"`      // reports of members for which there was no room
-	Incarnations uint64 `json:"incarnations"` // how often a larger incarnation was taken than the one of the start
-	Stalls       uint64 `json:"stalls"`       // how often the process had been stopped for a while
+	Keys         uint64 `json:"keys"`         // entries dropped at the limit of keys
+	Members      uint64 `json:"members"`      // reports dropped at the limit of members
+	Incarnations uint64 `json:"incarnations"` // how often the process raised its incarnation above that of its start
+	Stalls       uint64 `json:"stalls"`       // how often the process had been stopped, such as by SIGSTOP
 }
 
 func droppedStatus(c aggregation.Counters) DroppedStatus {
@@ -142,7 +142,7 @@
 	return SumStatus{Kind: kindName(k.Kind), Name: name, Value: f.Value, Error: f.Error, AgeMS: f.Age.Milliseconds(), Heard: f.Heard}
 }
 
-// aggregatorNames has the configured aggregators by their numbers.
+// aggregatorNames has the configured aggregators by their IDs.
 type aggregatorNames map[aggregation.AggregatorID]aggregatorName
 
 type aggregatorName struct {
@@ -176,6 +176,7 @@
 
 func memberID(name string) aggregation.MemberID { return aggregation.MemberID(hash(name)) }
 
+// newIncarnation returns the current time, which is larger than at any earlier start unless the clock was set back.
 func newIncarnation() aggregation.Incarnation {
 	return aggregation.Incarnation(time.Now().UnixNano())
 }
--- a/internal/sharing/status_server.go
+++ b/internal/sharing/status_server.go
@@ -9,14 +9,14 @@
 	"chalkferry/internal/failure"
 )
 
-// statusServer answers each HTTP request with the status as JSON.
+// statusServer responds to each HTTP request with the status as JSON.
 type statusServer struct {
-	listener net.Listener
+	listener net.Listener // nil if no status is served
 }
 
-// serveStatus listens on the address; an invalid one means that there is no status. ask returns false if the process
-// ends meanwhile.
-func serveStatus[T any](address netip.AddrPort, ask func() (T, bool)) (*statusServer, error) {
+// serveStatus serves the status at an address, or nowhere if the address is the zero value. getStatus returns false if
+// the member or aggregator was closed.
+func serveStatus[T any](address netip.AddrPort, getStatus func() (T, bool)) (*statusServer, error) {
 	if !address.IsValid() {
 		return &statusServer{}, nil
 	}
@@ -25,17 +25,17 @@
 		return nil, err
 	}
 	go http.Serve(failure.Listener{Listener: listener}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		status, ok := ask()
+		status, ok := getStatus()
 		if !ok {
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(status) // an error means that the client has gone
-	})) // ends when the listener is closed
+		json.NewEncoder(w).Encode(status) // an error means that the client closed the connection
+	})) // returns when the listener is closed
 	return &statusServer{listener: listener}, nil
 }
 
-// address is where the status is, "" for nowhere.
+// address returns the address that the status is served at, or "" if it is not served.
 func (s *statusServer) address() string {
 	if s.listener == nil {
 		return ""
--- a/internal/sharing/status_text.go
+++ b/internal/sharing/status_text.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// WriteStatus writes the JSON of a status, of either kind, for a reader at a terminal.
+// WriteStatus writes a status, which is the JSON of a MemberStatus or an AggregatorProcessStatus, as text for a terminal.
 func WriteStatus(to io.Writer, text []byte) error {
 	var head StatusHead
 	if err := json.Unmarshal(text, &head); err != nil {
@@ -103,14 +103,14 @@
 
 func percent(share float64) float64 { return 100 * share }
 
-// write leaves out what has not happened.
+// write leaves out counts of 0.
 func (d Datagrams) write(out io.Writer) {
 	for _, line := range []struct {
 		name  string
 		count uint64
 	}{
-		{"sent", d.Sent}, {"sent, bytes", d.SentBytes}, {"received, bytes", d.ReceivedBytes}, {"not sent", d.NotSent}, {"accepted", d.Accepted}, {"duplicate", d.Duplicate},
-		{"obsolete", d.Obsolete}, {"refused", d.Refused}, {"unknown sender", d.UnknownSender}, {"no room", d.NoRoom},
+		{"sent", d.Sent}, {"sent, bytes", d.SentBytes}, {"received, bytes", d.ReceivedBytes}, {"not sent", d.NotSent},
+		{"accepted", d.Accepted}, {"duplicate", d.Duplicate}, {"obsolete", d.Obsolete}, {"refused", d.Refused}, {"unknown sender", d.UnknownSender}, {"no room", d.NoRoom},
 		{"too long", d.TooLong}, {"malformed", d.Malformed}, {"other version", d.OtherVersion},
 		{"dropped, queue full", d.QueueFull}, {"dropped, socket buffer full", d.SocketDropped},
 	} {
@@ -120,6 +120,7 @@
 	}
 }
 
+// write leaves out counts of 0.
 func (d DroppedStatus) write(out io.Writer) {
 	for _, line := range []struct {
 		name  string
--- a/internal/sharing/tally.go
+++ b/internal/sharing/tally.go
@@ -6,121 +6,126 @@
 	"chalkferry/internal/line"
 )
 
-// Tally counts open sessions by server, listener and tenant. It is walked over all of them time and again and keeps its
-// counts between walks, so that a session that was there before costs one comparison.
+// Tally counts open sessions by server, listener and tenant. The caller walks over all open sessions repeatedly. The
+// counts are kept between walks, so that a session that was in the walk before, at the same position, costs one
+// comparison.
 //
 //	tally.Begin()
-//	for each open session { tally.Session(server, opening) }
-//	facts := tally.Facts(nameOf)
+//	for each open session { tally.Add(server, opening) }
+//	counts := tally.Finish(nameOf)
 //
-// Walks in the same order are cheapest: a session that stands at another place than before is counted anew.
+// Walks in the same order are cheapest: a session at another position than before is removed and counted again.
 type Tally struct {
-	sessions  []tallied // in the order of the latest walk
-	walked    int
-	servers   map[choice.ServerID]*heldCount
-	listeners map[string]*heldCount
-	tenants   map[string]*heldCount
+	sessions  []countedSession // in the order of the latest walk
+	walkIndex int              // number of sessions added in the current walk
+	servers   map[choice.ServerID]*sessionCounter
+	listeners map[string]*sessionCounter
+	tenants   map[string]*sessionCounter
 }
 
-// tallied is one session as it was counted. The pointer keeps it from being collected until the next walk, so that no
-// other session can have its address.
-type tallied struct {
+// countedSession is one session as it was counted. Sessions are compared by the pointer opening. It also keeps the
+// session from being garbage collected until the next walk, so that no other session can have the same address.
+type countedSession struct {
 	opening          *line.Open
-	at               choice.ServerID
-	server           *heldCount
-	listener, tenant *heldCount // tenant is nil for a session without
+	serverID         choice.ServerID
+	server           *sessionCounter
+	listener, tenant *sessionCounter // tenant is nil for a session without a tenant
 }
 
-// heldCount is a count that several sessions point to.
-type heldCount struct {
-	held uint32
+// sessionCounter is the number of sessions of a server, listener or tenant. All of these sessions point to it.
+type sessionCounter struct {
+	open uint32
 }
 
-// NewTally returns one that has counted nothing.
+// NewTally returns an empty tally.
 func NewTally() *Tally {
-	return &Tally{servers: map[choice.ServerID]*heldCount{}, listeners: map[string]*heldCount{},
-		tenants: map[string]*heldCount{}}
+	return &Tally{servers: map[choice.ServerID]*sessionCounter{}, listeners: map[string]*sessionCounter{},
+		tenants: map[string]*sessionCounter{}}
 }
 
-// Begin begins a walk.
-func (t *Tally) Begin() { t.walked = 0 }
+// Begin starts a walk over all open sessions.
+func (t *Tally) Begin() { t.walkIndex = 0 }
 
-// Session takes the next session of the walk.
-func (t *Tally) Session(at choice.ServerID, opening *line.Open) {
-	if t.walked == len(t.sessions) {
-		t.sessions = append(t.sessions, t.added(at, opening))
-	} else if known := &t.sessions[t.walked]; known.opening != opening || known.at != at {
+// Add counts the next session of the walk. opening identifies the session: it is the same pointer in each walk.
+func (t *Tally) Add(server choice.ServerID, opening *line.Open) {
+	if t.walkIndex == len(t.sessions) {
+		t.sessions = append(t.sessions, t.count(server, opening))
+	} else if known := &t.sessions[t.walkIndex]; known.opening != opening || known.serverID != server {
 		removed := *known
-		*known = t.added(at, opening)
+		*known = t.count(server, opening)
 		removed.uncount()
 	}
-	t.walked++
+	t.walkIndex++
 }
 
-// Facts ends the walk and returns what is held now. Sessions at a server that nameOf does not know count for their
-// listener and tenant only.
-func (t *Tally) Facts(nameOf func(choice.ServerID) (name string, known bool)) []Fact {
-	for i := t.walked; i < len(t.sessions); i++ {
+// Finish ends the walk and returns the counts that are above 0. Sessions at a server that nameOf does not know count for
+// their listener and tenant only.
+func (t *Tally) Finish(nameOf func(choice.ServerID) (name string, known bool)) []SessionCount {
+	for i := t.walkIndex; i < len(t.sessions); i++ {
 		t.sessions[i].uncount()
 	}
-	clear(t.sessions[t.walked:])
-	t.sessions = t.sessions[:t.walked]
+	clear(t.sessions[t.walkIndex:])
+	t.sessions = t.sessions[:t.walkIndex]
 
-	facts := make([]Fact, 0, len(t.servers)+len(t.listeners)+len(t.tenants))
-	for at, count := range t.servers { // each stands for itself, in any order
-		if count.held == 0 {
-			delete(t.servers, at)
+	counts := make([]SessionCount, 0, len(t.servers)+len(t.listeners)+len(t.tenants))
+	for server, counter := range t.servers { // the order does not matter
+		if counter.open == 0 {
+			delete(t.servers, server)
 			continue
 		}
-		if name, known := nameOf(at); known {
-			facts = append(facts, Fact{Kind: aggregation.ByServer, Name: name, Held: count.held})
+		if name, known := nameOf(server); known {
+			counts = append(counts, SessionCount{Kind: aggregation.ByServer, Name: name, Sessions: counter.open})
 		}
 	}
-	facts = appendNamed(facts, aggregation.ByListener, t.listeners)
-	return appendNamed(facts, aggregation.ByTenant, t.tenants)
+	counts = appendCounts(counts, aggregation.ByListener, t.listeners)
+	return appendCounts(counts, aggregation.ByTenant, t.tenants)
 }
 
-func appendNamed(facts []Fact, kind aggregation.Kind, counts map[string]*heldCount) []Fact {
-	for name, count := range counts { // in any order
-		if count.held == 0 {
-			delete(counts, name)
+// appendCounts appends the counts by name and removes the counters that are 0.
+func appendCounts(counts []SessionCount, kind aggregation.Kind, counters map[string]*sessionCounter) []SessionCount {
+	for name, counter := range counters { // the order does not matter
+		if counter.open == 0 {
+			delete(counters, name)
 			continue
 		}
-		facts = append(facts, Fact{Kind: kind, Name: name, Held: count.held})
+		counts = append(counts, SessionCount{Kind: kind, Name: name, Sessions: counter.open})
 	}
-	return facts
+	return counts
 }
 
-// added counts a session.
-func (t *Tally) added(at choice.ServerID, opening *line.Open) tallied {
-	server := t.servers[at]
+// count adds a session to the counters of its server, listener and tenant.
+func (t *Tally) count(serverID choice.ServerID, opening *line.Open) countedSession {
+	server := t.servers[serverID]
 	if server == nil {
-		server = &heldCount{}
-		t.servers[at] = server
+		server = &sessionCounter{}
+		t.servers[serverID] = server
 	}
-	session := tallied{opening: opening, at: at, server: server, listener: countOf(t.listeners, opening.Listener)}
-	server.held++
-	session.listener.held++
+	session := countedSession{opening: opening, serverID: serverID, server: server,
+		listener: counterOf(t.listeners, opening.Listener)}
+	server.open++
+	session.listener.open++
 	if opening.Tenant != nil {
-		session.tenant = countOf(t.tenants, opening.Tenant)
-		session.tenant.held++
+		session.tenant = counterOf(t.tenants, opening.Tenant)
+		session.tenant.open++
 	}
 	return session
 }
 
-func countOf(counts map[string]*heldCount, name []byte) *heldCount {
-	if count := counts[string(name)]; count != nil { // without a copy of the name
-		return count
+// counterOf returns the counter of a name, which it adds if there is none.
+func counterOf(counters map[string]*sessionCounter, name []byte) *sessionCounter {
+	if counter := counters[string(name)]; counter != nil { // a lookup by string(name) does not copy the name
+		return counter
 	}
-	count := &heldCount{}
-	counts[string(name)] = count
-	return count
+	counter := &sessionCounter{}
+	counters[string(name)] = counter
+	return counter
 }
 
-func (s *tallied) uncount() {
-	s.server.held--
-	s.listener.held--
+// uncount removes a session from its counters.
+func (s *countedSession) uncount() {
+	s.server.open--
+	s.listener.open--
 	if s.tenant != nil {
-		s.tenant.held--
+		s.tenant.open--
 	}
 }
--- a/internal/sharing/tally_test.go
+++ b/internal/sharing/tally_test.go
@@ -11,7 +11,7 @@
 	"chalkferry/internal/line"
 )
 
-// session is one that a proxy holds, as large as there.
+// session has about the memory size of a session in a proxy.
 type session struct {
 	_       [12]uint64
 	opening line.Open
@@ -31,39 +31,40 @@
 	return &session{opening: opening, at: choice.ServerID(server)}
 }
 
-// serverName is known for all servers but 0.
+// serverName returns a name for all servers but 0.
 func serverName(at choice.ServerID) (string, bool) { return fmt.Sprintf("server-%05d", at), at != 0 }
 
-type factName struct {
+type countName struct {
 	kind aggregation.Kind
 	name string
 }
 
-// countAll counts the sessions one by one, without what was counted before.
-func countAll(sessions []*session, nameOf func(choice.ServerID) (string, bool)) map[factName]uint32 {
-	held := map[factName]uint32{}
+// countAll counts all sessions anew, as a reference for Tally.
+func countAll(sessions []*session, nameOf func(choice.ServerID) (string, bool)) map[countName]uint32 {
+	held := map[countName]uint32{}
 	for _, s := range sessions {
 		if name, known := nameOf(s.at); known {
-			held[factName{aggregation.ByServer, name}]++
+			held[countName{aggregation.ByServer, name}]++
 		}
-		held[factName{aggregation.ByListener, string(s.opening.Listener)}]++
+		held[countName{aggregation.ByListener, string(s.opening.Listener)}]++
 		if s.opening.Tenant != nil {
-			held[factName{aggregation.ByTenant, string(s.opening.Tenant)}]++
+			held[countName{aggregation.ByTenant, string(s.opening.Tenant)}]++
 		}
 	}
 	return held
 }
 
-func walk(tally *Tally, sessions []*session) []Fact {
+// tallyAll does one walk over the sessions.
+func tallyAll(tally *Tally, sessions []*session) []SessionCount {
 	tally.Begin()
 	for _, s := range sessions {
-		tally.Session(s.at, &s.opening)
+		tally.Add(s.at, &s.opening)
 	}
-	return tally.Facts(serverName)
+	return tally.Finish(serverName)
 }
 
-// TestTally: whatever sessions come, end, move in the table or change their server between two walks, the facts are
-// those that counting all of them gives.
+// TestTally: after sessions start, end, move in the table or change their server between walks, the counts are the same as
+// those of countAll.
 func TestTally(t *testing.T) {
 	for seed := range int64(20) {
 		random := rand.New(rand.NewSource(seed))
@@ -76,7 +77,7 @@
 				number++
 			}
 			for range random.Intn(45) {
-				if len(sessions) > 0 { // the table fills a gap with its last session
+				if len(sessions) > 0 { // the proxy's table fills a gap with its last session, too
 					at, last := random.Intn(len(sessions)), len(sessions)-1
 					sessions[at] = sessions[last]
 					sessions = sessions[:last]
@@ -91,41 +92,41 @@
 			if step == 40 {
 				sessions = nil
 			}
-			got := map[factName]uint32{}
-			for _, fact := range walk(tally, sessions) {
-				if _, isDouble := got[factName{fact.Kind, fact.Name}]; isDouble || fact.Held == 0 {
-					t.Fatalf("seed %d step %d: %+v is there twice or 0", seed, step, fact)
+			got := map[countName]uint32{}
+			for _, count := range tallyAll(tally, sessions) {
+				if _, isDuplicate := got[countName{count.Kind, count.Name}]; isDuplicate || count.Sessions == 0 {
+					t.Fatalf("seed %d step %d: %+v is duplicate or 0", seed, step, count)
 				}
-				got[factName{fact.Kind, fact.Name}] = fact.Held
+				got[countName{count.Kind, count.Name}] = count.Sessions
 			}
 			if want := countAll(sessions, serverName); !maps.Equal(got, want) {
-				t.Fatalf("seed %d step %d: %v, not %v", seed, step, got, want)
+				t.Fatalf("seed %d step %d: counts %v, want %v", seed, step, got, want)
 			}
 		}
 	}
 }
 
-// TestTallyAllocates: a walk over sessions that were there before allocates nothing for each of them.
+// TestTallyAllocates: a walk over the same sessions as before does not allocate per session.
 func TestTallyAllocates(t *testing.T) {
 	var sessions []*session
 	for number := range 5000 {
 		sessions = append(sessions, newSession(t, number, 1+number%50, 20))
 	}
 	tally := NewTally()
-	walk(tally, sessions)
+	tallyAll(tally, sessions)
 	perWalk := testing.AllocsPerRun(10, func() {
 		tally.Begin()
 		for _, s := range sessions {
-			tally.Session(s.at, &s.opening)
+			tally.Add(s.at, &s.opening)
 		}
-		tally.Facts(func(choice.ServerID) (string, bool) { return "one", true })
+		tally.Finish(func(choice.ServerID) (string, bool) { return "one", true })
 	})
 	if perWalk > 5 {
-		t.Errorf("%.0f allocations in a walk", perWalk)
+		t.Errorf("%.0f allocations per walk, want at most 5", perWalk)
 	}
 }
 
-// proxySessions is what a proxy holds at the fleet's size.
+// proxySessions is the number of sessions of one proxy in a fleet of the intended size.
 const proxySessions = 85500
 
 func benchmarkSessions(b *testing.B, servers int) []*session {
@@ -138,8 +139,9 @@
 	return sessions
 }
 
-// BenchmarkPublish is what a publication costs a proxy each second: "walk" and "count all" on the event loop (the
-// first is used, the second was before), "take" on the goroutine that owns the member's state.
+// BenchmarkPublish measures the work of one publication, which a proxy does each second. On the event loop: "walk" (Tally)
+// and, for comparison, "count all", the implementation before Tally. On the goroutine that owns the member's state:
+// "take".
 func BenchmarkPublish(b *testing.B) {
 	for _, servers := range []int{500, 10000} {
 		sessions := benchmarkSessions(b, servers)
@@ -149,15 +151,15 @@
 		}
 		nameOf := func(at choice.ServerID) (string, bool) { return names[at], true }
 		tally := NewTally()
-		facts := walk(tally, sessions)
+		counts := tallyAll(tally, sessions)
 		b.Run(fmt.Sprintf("walk/servers=%d", servers), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				tally.Begin()
 				for _, s := range sessions {
-					tally.Session(s.at, &s.opening)
+					tally.Add(s.at, &s.opening)
 				}
-				facts = tally.Facts(nameOf)
+				counts = tally.Finish(nameOf)
 			}
 		})
 		b.Run(fmt.Sprintf("count all/servers=%d", servers), func(b *testing.B) {
@@ -171,10 +173,10 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			set := newFactSet(defaultMemberKeys)
+			set := newPublishedCounts(defaultMaxMemberKeys)
 			b.ReportAllocs()
 			for b.Loop() {
-				set.publish(facts, func(k aggregation.Key, value uint64) { state.Set(k, value) })
+				set.publish(counts, func(k aggregation.Key, value uint64) { state.Set(k, value) })
 			}
 		})
 	}
