--- a/internal/fleet/health_reports.go
+++ b/internal/fleet/health_reports.go
@@ -70,11 +70,13 @@
 	rotatedAt         time.Duration
 }
 
+// storedReport is a report with the time of its observation, so that its age need not be updated.
 type storedReport struct {
 	HealthReport
 	observedAt time.Duration // by this process's clock
 }
 
+// serverStart is the latest start of a listed server, and whether a drain of it was reported.
 type serverStart struct {
 	id       ServerID
 	start    StartTime
@@ -135,7 +137,8 @@
 }
 
 // Receive handles another member's report, which came from that member or was passed on by a third. It returns whether
-// the report was new. A report on a start that the list does not have yet is ignored; it will be retransmitted.
+// the report was new. A report on a start that the list does not have yet is ignored; it is stored when it arrives again
+// after the list has the start.
 func (h *HealthReports) Receive(now time.Duration, report HealthReport) (isNew bool) {
 	if report.Reporter < 0 || int(report.Reporter) >= h.memberCount || report.Reporter == h.self || report.Age < 0 ||
 		report.Condition < Slow || report.Condition > Draining || report.Incarnation < h.senders[report.Reporter].incarnation {
@@ -215,7 +218,8 @@
 }
 
 // Retransmit returns up to count stored reports, own and others', each with its age, for sending again, as any message
-// may be lost. Successive calls go round all stored reports.
+// may be lost. Successive calls go round all stored reports. Drains are not among them: store keeps only that a server is
+// draining, not the report.
 func (h *HealthReports) Retransmit(now time.Duration, count int) (reports []HealthReport) {
 	h.removeExpired(now)
 	for range min(count, len(h.reports)) {
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -114,7 +114,8 @@
 	return lines
 }
 
-// Span is a duration that is written as text in a file, such as "1.5s" or "200ms".
+// Span is a duration that is written as text in a file or on the command line, such as "1.5s" or "200ms". The name of the
+// type is visible to users: it is the placeholder SPAN of flags in the help text.
 type Span time.Duration
 
 // UnmarshalText parses a duration in the format of time.ParseDuration.
