--- a/cmd/chalkferry/aggregate_test.go
+++ b/cmd/chalkferry/aggregate_test.go
@@ -14,7 +14,7 @@
 
 	"chalkferry/internal/aggregation"
 	"chalkferry/internal/sharing"
-	"chalkferry/internal/standin/way"
+	"chalkferry/internal/standin/udplink"
 )
 
 // TestAggregators runs fleets of processes through the faults of aggregators, and through what strangers send. The
@@ -142,7 +142,7 @@
 			f.exchanges[eastA][westA].Send(datagram)
 			f.links[0][westA].down.Send(datagram)
 		}
-		f.eachWay((*way.Way).Again) // each its first eight
+		f.eachWay((*udplink.Link).Replay) // each its first eight
 		f.replayProxy(0)
 		time.Sleep(strangersPause)
 	}
--- a/cmd/chalkferry/fleet_rig_test.go
+++ b/cmd/chalkferry/fleet_rig_test.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"chalkferry/internal/sharing"
-	"chalkferry/internal/standin/way"
+	"chalkferry/internal/standin/udplink"
 )
 
 // running is one proxy or aggregator as a process of its own.
@@ -212,7 +212,7 @@
 // link joins a proxy and an aggregator, by one way in each direction. The aggregator sees the proxy at the address of
 // the link's socket and answers there.
 type link struct {
-	up, down *way.Way
+	up, down *udplink.Link
 
 	mu       sync.Mutex
 	recorded [][]byte // the proxy's latest datagrams
@@ -251,9 +251,9 @@
 	return l
 }
 
-func openWay(t *testing.T, to string, seed int64) *way.Way {
+func openWay(t *testing.T, to string, seed int64) *udplink.Link {
 	t.Helper()
-	w, err := way.Open("127.0.0.1:0", to, seed)
+	w, err := udplink.Open("127.0.0.1:0", to, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -279,8 +279,8 @@
 }
 
 func (l *link) cut(isCut bool) {
-	l.up.Cut(isCut)
-	l.down.Cut(isCut)
+	l.up.SetDown(isCut)
+	l.down.SetDown(isCut)
 }
 
 // testFleet is three proxies and four aggregators as processes, with links of the test's own between them.
@@ -290,8 +290,8 @@
 	folder      string
 	aggregators [aggregatorCount]*running
 	proxies     [proxyCount]*running
-	links       [proxyCount][aggregatorCount]*link         // nil to the other region
-	exchanges   [aggregatorCount][aggregatorCount]*way.Way // from, to
+	links       [proxyCount][aggregatorCount]*link              // nil to the other region
+	exchanges   [aggregatorCount][aggregatorCount]*udplink.Link // from, to
 }
 
 func newTestFleet(t *testing.T, binary string) *testFleet {
@@ -381,7 +381,7 @@
 }
 
 // eachWay calls back with every way there is.
-func (f *testFleet) eachWay(call func(*way.Way)) {
+func (f *testFleet) eachWay(call func(*udplink.Link)) {
 	for i := range f.links {
 		for _, l := range f.links[i] {
 			if l != nil {
@@ -413,7 +413,7 @@
 	for from := range f.exchanges {
 		for to, w := range f.exchanges[from] {
 			if w != nil && aggregatorRegions[from] != aggregatorRegions[to] {
-				w.Cut(isCut)
+				w.SetDown(isCut)
 			}
 		}
 	}
--- a/cmd/chalkferry/fleet_test.go
+++ b/cmd/chalkferry/fleet_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"chalkferry/internal/sharing"
-	"chalkferry/internal/standin/way"
+	"chalkferry/internal/standin/udplink"
 )
 
 // TestFleet runs three proxies and two aggregators in each of two regions as processes, with ways of the test's own
@@ -29,21 +29,21 @@
 	f.proxies[2].open(t, 1, "cccccccc")
 	f.expectWhole("at first", 6, 0, 1, 2)
 
-	f.eachWay(func(w *way.Way) { w.Faulty(1.0/3, 1.0/2, 300*time.Millisecond) })
+	f.eachWay(func(w *udplink.Link) { w.SetFaults(1.0/3, 1.0/2, 300*time.Millisecond) })
 	f.proxies[1].open(t, 2, "dddddddd")
 	f.expect("with a third lost, doubled and late datagrams", 8, 0, 1, 2)
-	f.eachWay(func(w *way.Way) { w.Faulty(0, 0, 0) })
+	f.eachWay(func(w *udplink.Link) { w.SetFaults(0, 0, 0) })
 
 	f.links[0][westA].cut(true) // a proxy and the regions have one aggregator in common
-	f.exchanges[westA][westB].Cut(true)
-	f.exchanges[westB][westA].Cut(true)
+	f.exchanges[westA][westB].SetDown(true)
+	f.exchanges[westB][westA].SetDown(true)
 	first[0].Close()
 	f.expectWhole("with one way cut", 7, 0, 1, 2)
 
 	f.cutProxy(0, true)
 	f.expectPart("alone", 2, 0)
 	f.expect("without one", 5, 1, 2)
-	f.eachWay(func(w *way.Way) { w.Cut(false) })
+	f.eachWay(func(w *udplink.Link) { w.SetDown(false) })
 	f.expectWhole("healed", 7, 0, 1, 2)
 
 	f.proxies[2].cmd.Process.Signal(syscall.SIGSTOP)
@@ -85,7 +85,7 @@
 func (f *testFleet) replayProxy(i int) {
 	for _, l := range f.links[i] {
 		if l != nil {
-			l.up.Again()
+			l.up.Replay()
 			l.replay()
 		}
 	}
--- a/cmd/chalkferry/rehearse.go
+++ b/cmd/chalkferry/rehearse.go
@@ -178,7 +178,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("carried %.0f sessions a second; %s\n", found.Carried, found.Why)
+	fmt.Printf("carried %.0f sessions a second; %s\n", found.MaxRate, found.StopReason)
 	if c.JSON != "" {
 		return found.WriteJSON(c.JSON)
 	}
--- a/cmd/chalkferry/rehearse_test.go
+++ b/cmd/chalkferry/rehearse_test.go
@@ -65,7 +65,7 @@
 	t.Parallel()
 	logs := t.TempDir()
 	r := runScenario(t, "stall", logs)
-	for _, w := range r.MessageBy {
+	for _, w := range r.MessageWindows {
 		if w.FromMs == 2000 && w.P99 < 100 {
 			t.Errorf("the stall of 200 ms is not seen in %+v", w)
 		}
--- a/internal/rehearse/badclients.go
+++ b/internal/rehearse/badclients.go
@@ -44,8 +44,8 @@
 	return choices[rng.Intn(len(choices))]
 }
 
-// run sends bad clients over the fault's duration.
-func (b *badClients) run(ctx context.Context, r *rehearsal, f Fault) {
+// send sends bad clients over the fault's duration.
+func (b *badClients) send(ctx context.Context, r *rehearsal, f Fault) {
 	rng := rand.New(rand.NewSource(r.scenario.Seed + int64(f.At)))
 	spread := max(f.Duration.D(), minBadClientSpread)
 	offsets := make([]time.Duration, f.Count)
@@ -53,9 +53,9 @@
 		offsets[i] = time.Duration(rng.Float64() * float64(spread))
 	}
 	slices.Sort(offsets)
-	began := r.now()
+	startedAt := r.now()
 	for i, offset := range offsets {
-		if !r.sleep(ctx, began+offset-r.now()) {
+		if !r.sleep(ctx, startedAt+offset-r.now()) {
 			return
 		}
 		address := r.processes[i%len(r.processes)].address
--- a/internal/rehearse/binding.go
+++ b/internal/rehearse/binding.go
@@ -8,13 +8,13 @@
 	"chalkferry/internal/affinity"
 )
 
-// intruderCheckEvery is how often a run looks for others' processes on its proxies' processors.
-const intruderCheckEvery = time.Second
+// intruderCheckInterval is how often a run looks for others' processes on its proxies' processors.
+const intruderCheckInterval = time.Second
 
 // binding is which processors a run's proxies are bound to, each to one of its own.
 type binding struct {
 	reservation *affinity.Reservation // nil where they are bound to none
-	checkedAt   time.Duration
+	lastCheckAt time.Duration
 }
 
 // bindProxies reserves processors for the proxies. Where there are not enough free ones the run goes on without, and its report
@@ -23,7 +23,7 @@
 	reservation, err := affinity.Reserve(r.scenario.Proxies.Count)
 	var unavailable *affinity.UnavailableError
 	if errors.As(err, &unavailable) {
-		r.unbound = unavailable.Error()
+		r.unboundReason = unavailable.Error()
 		return affinity.Avoid(unavailable.Reserved)
 	}
 	if err != nil {
@@ -45,20 +45,20 @@
 // measured wrongly from now on, and taken from that process.
 func (r *rehearsal) checkIntruder() {
 	b := &r.binding
-	if b.reservation == nil || r.now()-b.checkedAt < intruderCheckEvery {
+	if b.reservation == nil || r.now()-b.lastCheckAt < intruderCheckInterval {
 		return
 	}
-	b.checkedAt = r.now()
+	b.lastCheckAt = r.now()
 	intruder, err := b.reservation.Intruder()
 	if err != nil || intruder == "" {
 		return // without /proc nothing is known of others
 	}
 	r.mu.Lock()
-	r.unbound = fmt.Sprintf("from %.1f s on: %s", r.now().Seconds(), intruder)
+	r.unboundReason = fmt.Sprintf("from %.1f s on: %s", r.now().Seconds(), intruder)
 	r.mu.Unlock()
 	for i, p := range r.processes {
 		if err := p.unbind(b.reservation); err != nil {
-			r.addTrouble("proxy %d can't be unbound: %v", i, err)
+			r.addRunError("proxy %d can't be unbound: %v", i, err)
 		}
 	}
 	b.reservation.Release()
@@ -67,13 +67,13 @@
 
 // unbind lets a proxy use all processors, in this start and those to come.
 func (p *process) unbind(reservation *affinity.Reservation) error {
-	p.changing.Lock()
-	defer p.changing.Unlock()
+	p.changeMu.Lock()
+	defer p.changeMu.Unlock()
 	p.cpu = anyCPU
 	p.mu.Lock()
-	isUp := p.state == running || p.state == ending
+	isRunning := p.state == running || p.state == ending
 	p.mu.Unlock()
-	if !isUp {
+	if !isRunning {
 		return nil
 	}
 	return reservation.Unbind(p.cmd.Process.Pid)
--- a/internal/rehearse/binding_test.go
+++ b/internal/rehearse/binding_test.go
@@ -19,15 +19,15 @@
 
 func smallScenario(t *testing.T, length string) *Scenario {
 	t.Helper()
-	s, err := Parse("small.toml", fmt.Appendf(nil, small, length, "", "repeatable", ""))
+	s, err := Parse("small.toml", fmt.Appendf(nil, smallScenarioTemplate, length, "", "repeatable", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-// proxiesOf are the processes that serve by a program of this test, by their ids.
-func proxiesOf(t *testing.T) (ids []int) {
+// proxyPIDs are the processes that serve by a program of this test, by their ids.
+func proxyPIDs(t *testing.T) (pids []int) {
 	t.Helper()
 	commands, err := filepath.Glob("/proc/[0-9]*/cmdline")
 	if err != nil {
@@ -36,30 +36,30 @@
 	for _, file := range commands {
 		text, _ := os.ReadFile(file) // "" for one that has ended
 		if strings.Contains(string(text), "/"+t.Name()) && strings.Contains(string(text), "\x00serve\x00") {
-			id, _ := strconv.Atoi(filepath.Base(filepath.Dir(file)))
-			ids = append(ids, id)
+			pid, _ := strconv.Atoi(filepath.Base(filepath.Dir(file)))
+			pids = append(pids, pid)
 		}
 	}
-	return ids
+	return pids
 }
 
-// awaitProxies waits until as many proxies of this test run.
-func awaitProxies(t *testing.T, count int) []int {
+// waitForProxies waits until as many proxies of this test run.
+func waitForProxies(t *testing.T, count int) []int {
 	t.Helper()
-	for limit := time.Now().Add(maxStartTime); time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
-		if ids := proxiesOf(t); len(ids) == count {
-			return ids
+	for deadline := time.Now().Add(maxStartTime); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		if pids := proxyPIDs(t); len(pids) == count {
+			return pids
 		}
 	}
-	t.Fatalf("%d proxies run, not %d", len(proxiesOf(t)), count)
+	t.Fatalf("%d proxies run, not %d", len(proxyPIDs(t)), count)
 	return nil
 }
 
-// onlyProcessor is the processor that a process is bound to, anyCPU if it may use several.
-func onlyProcessor(t *testing.T, id int) int {
+// boundProcessor is the processor that a process is bound to, anyCPU if it may use several.
+func boundProcessor(t *testing.T, pid int) int {
 	t.Helper()
 	var set unix.CPUSet
-	if err := unix.SchedGetaffinity(id, &set); err != nil {
+	if err := unix.SchedGetaffinity(pid, &set); err != nil {
 		t.Fatal(err)
 	}
 	for processor := range 64 * len(set) {
@@ -74,15 +74,15 @@
 func TestRehearsalsBesideOneAnother(t *testing.T) {
 	reports := make(chan *Report, 2)
 	for range cap(reports) {
-		go func() { reports <- runAs(t, context.Background(), smallScenario(t, "3s"), "kind") }()
+		go func() { reports <- runWithFaultyProxy(t, context.Background(), smallScenario(t, "3s"), "kind") }()
 	}
-	taken := map[int]bool{}
-	for _, id := range awaitProxies(t, cap(reports)) {
-		processor := onlyProcessor(t, id)
-		if processor != anyCPU && taken[processor] {
+	usedProcessors := map[int]bool{}
+	for _, pid := range waitForProxies(t, cap(reports)) {
+		processor := boundProcessor(t, pid)
+		if processor != anyCPU && usedProcessors[processor] {
 			t.Errorf("two proxies are bound to processor %d", processor)
 		}
-		taken[processor] = true
+		usedProcessors[processor] = true
 	}
 	for range cap(reports) {
 		if r := <-reports; len(r.Failed) > 0 {
@@ -91,8 +91,8 @@
 	}
 }
 
-// bindForeign has a process that is no descendant of this one bound to a processor until the test ends.
-func bindForeign(t *testing.T, processor int) {
+// bindForeignProcess has a process that is no descendant of this one bound to a processor until the test ends.
+func bindForeignProcess(t *testing.T, processor int) {
 	t.Helper()
 	affinitytest.ForeignProcess(t, func(shell *exec.Cmd) error { return affinity.StartOn(shell, processor) })
 }
@@ -105,12 +105,12 @@
 	}
 	for processor := range 64 * len(own) {
 		if own.IsSet(processor) {
-			bindForeign(t, processor)
+			bindForeignProcess(t, processor)
 		}
 	}
 	report := make(chan *Report, 1)
-	go func() { report <- runAs(t, context.Background(), smallScenario(t, "2s"), "kind") }()
-	if processor := onlyProcessor(t, awaitProxies(t, 1)[0]); processor != anyCPU {
+	go func() { report <- runWithFaultyProxy(t, context.Background(), smallScenario(t, "2s"), "kind") }()
+	if processor := boundProcessor(t, waitForProxies(t, 1)[0]); processor != anyCPU {
 		t.Errorf("the proxy is bound to processor %d, which others are bound to", processor)
 	}
 	if r := <-report; !strings.Contains(r.Unbound, "bound to it") || len(r.Failed) > 0 {
@@ -121,13 +121,13 @@
 // TestGivesWay: once a process of others is bound to its proxy's processor a rehearsal unbinds the proxy, and says so.
 func TestGivesWay(t *testing.T) {
 	report := make(chan *Report, 1)
-	go func() { report <- runAs(t, context.Background(), smallScenario(t, "4s"), "kind") }()
-	id := awaitProxies(t, 1)[0]
-	processor := onlyProcessor(t, id)
+	go func() { report <- runWithFaultyProxy(t, context.Background(), smallScenario(t, "4s"), "kind") }()
+	pid := waitForProxies(t, 1)[0]
+	processor := boundProcessor(t, pid)
 	if processor == anyCPU {
 		t.Fatalf("the proxy is not bound: %q", (<-report).Unbound)
 	}
-	bindForeign(t, processor)
+	bindForeignProcess(t, processor)
 	r := <-report
 	if !strings.Contains(r.Unbound, fmt.Sprintf("processor %d has process", processor)) || len(r.Failed) > 0 {
 		t.Errorf("%q, %v", r.Unbound, r.Failed)
--- a/internal/rehearse/capacity.go
+++ b/internal/rehearse/capacity.go
@@ -22,10 +22,10 @@
 
 // CapacitySearch is how far a rate could be raised.
 type CapacitySearch struct {
-	Scenario string         `json:"scenario"`
-	Steps    []CapacityStep `json:"steps"`
-	Carried  float64        `json:"carried"` // the highest rate whose p99 was not twice that of the first step
-	Why      string         `json:"why"`     // the search ended
+	Scenario   string         `json:"scenario"`
+	Steps      []CapacityStep `json:"steps"`
+	MaxRate    float64        `json:"carried"` // the highest rate whose p99 was not twice that of the first step
+	StopReason string         `json:"why"`     // the search ended
 }
 
 const (
@@ -38,7 +38,7 @@
 // FindCapacity raises a scenario's rate by a factor from step to step, each a run of its own, until the p99 of the
 // handshake has doubled twice in a row, the generator is late, or a rule is broken. Each step is printed.
 func FindCapacity(ctx context.Context, s *Scenario, o Options, from, factor float64, maxSteps int, out io.Writer) (*CapacitySearch, error) {
-	c := &CapacitySearch{Scenario: s.Name, Why: "all steps were taken"}
+	c := &CapacitySearch{Scenario: s.Name, StopReason: "all steps were taken"}
 	rate, stepsOver := from, 0
 	for range maxSteps {
 		report, err := runAtRate(ctx, s, o, rate)
@@ -46,7 +46,7 @@
 			return nil, err
 		}
 		if ctx.Err() != nil {
-			c.Why = "interrupted"
+			c.StopReason = "interrupted"
 			return c, nil
 		}
 		c.Steps = append(c.Steps, capacityStep(s, rate, report))
@@ -54,18 +54,18 @@
 		firstP99 := c.Steps[0].Connects.P99
 		switch {
 		case report.Late:
-			c.Why = "the generator was late"
+			c.StopReason = "the generator was late"
 			return c, nil
 		case len(report.Failed) > 0:
-			c.Why = report.Failed[0]
+			c.StopReason = report.Failed[0]
 			return c, nil
-		case report.Connects.P99 <= capacityP99Multiple*firstP99:
-			c.Carried, stepsOver = rate, 0
+		case report.Handshakes.P99 <= capacityP99Multiple*firstP99:
+			c.MaxRate, stepsOver = rate, 0
 		default:
 			stepsOver++
 		}
 		if stepsOver == maxStepsOver {
-			c.Why = fmt.Sprintf("the p99 of the handshake passed %d times the first step's %.2f ms", capacityP99Multiple, firstP99)
+			c.StopReason = fmt.Sprintf("the p99 of the handshake passed %d times the first step's %.2f ms", capacityP99Multiple, firstP99)
 			return c, nil
 		}
 		rate *= factor
@@ -83,7 +83,7 @@
 	length := (s.Length + s.Settle).D()
 	return CapacityStep{
 		Rate:     rate,
-		Connects: r.Connects,
+		Connects: r.Handshakes,
 		Messages: r.Messages,
 		CPU:      r.cpuSeconds() / length.Seconds(),
 		Refused:  r.Clients.Refused,
@@ -95,7 +95,7 @@
 
 func printStep(out io.Writer, step CapacityStep, r *Report) {
 	fmt.Fprintf(out, "%8.0f a second: handshake p50 %7.2f p99 %8.2f ms, message p50 %6.2f p99 %7.2f ms, CPU %.2f, %d refused, lateness p99 %.2f ms\n",
-		step.Rate, r.Connects.P50, r.Connects.P99, r.Messages.P50, r.Messages.P99, step.CPU, r.Clients.Refused, r.Lateness.P99)
+		step.Rate, r.Handshakes.P50, r.Handshakes.P99, r.Messages.P50, r.Messages.P99, step.CPU, r.Clients.Refused, r.Lateness.P99)
 	if step.Unbound != "" {
 		fmt.Fprintf(out, "NOT BOUND: %s\n", step.Unbound)
 	}
--- a/internal/rehearse/check.go
+++ b/internal/rehearse/check.go
@@ -230,7 +230,7 @@
 		if err := firstViolation(f, table, s.faultRequirements(fault, traits)); err != nil {
 			return err
 		}
-		if fault.Share > 0 && traits.nodes && len(fault.Nodes) == 0 {
+		if fault.Share > 0 && traits.onNodes && len(fault.Nodes) == 0 {
 			fault.Nodes = s.drawNodes(fault.Share, int64(i))
 		}
 	}
@@ -245,28 +245,28 @@
 	return strings.Join(names, ", ")
 }
 
-func (s *Scenario) faultRequirements(c *Fault, traits faultTraits) []requirement {
+func (s *Scenario) faultRequirements(fault *Fault, traits faultTraits) []requirement {
 	outside := func(ids []int, end int) bool {
 		return slices.ContainsFunc(ids, func(id int) bool { return id < 0 || id >= end })
 	}
-	kind := string(c.Kind)
+	kind := string(fault.Kind)
 	nodes, proxies := s.Platform.Nodes+s.Platform.Spare, s.Proxies.Count
-	noNodes := len(c.Nodes) == 0 && (c.Share == 0 || c.Kind == faultHalfOpen)
-	tooManyAdded := c.Kind == faultAdd && c.Count > s.Platform.Spare
+	noNodes := len(fault.Nodes) == 0 && (fault.Share == 0 || fault.Kind == faultHalfOpen)
+	tooManyAdded := fault.Kind == faultAdd && fault.Count > s.Platform.Spare
 	return []requirement{
-		{"at", c.At < 0 || c.At >= s.Length, fmt.Sprintf("must lie within the length of %v", s.Length)},
-		{"for", c.Duration < 0 || c.At+c.Duration > s.Length+s.Settle, "the fault must end with the run"},
-		{"for", c.Duration > 0 && !traits.lasts, "a " + kind + " has no end"},
-		{"nodes", outside(c.Nodes, nodes), fmt.Sprintf("there are nodes 0 to %d", nodes-1)},
-		{"nodes", len(c.Nodes) > 0 && !traits.nodes, "a " + kind + " acts on no node"},
-		{"nodes", traits.nodes && noNodes, "must be named, or a share be given"},
-		{"proxies", outside(c.Proxies, proxies), fmt.Sprintf("there are proxies 0 to %d", proxies-1)},
-		{"proxies", len(c.Proxies) > 0 && !traits.proxies, "a " + kind + " acts on no proxy"},
-		{"proxies", traits.proxies && len(c.Proxies) == 0, "must be named"},
-		{"share", !isShare(c.Share) || traits.needs == "share" && c.Share == 0, "must be above 0, 1 at most"},
-		{"factor", c.Factor < 0 || traits.needs == "factor" && c.Factor == 0, "must be above 0"},
-		{"by", c.ListDelay < 0 || traits.needs == "by" && c.ListDelay == 0, "must be above 0"},
-		{"count", c.Count < 0 || traits.needs == "count" && c.Count == 0 || tooManyAdded,
+		{"at", fault.At < 0 || fault.At >= s.Length, fmt.Sprintf("must lie within the length of %v", s.Length)},
+		{"for", fault.Duration < 0 || fault.At+fault.Duration > s.Length+s.Settle, "the fault must end with the run"},
+		{"for", fault.Duration > 0 && !traits.hasDuration, "a " + kind + " has no end"},
+		{"nodes", outside(fault.Nodes, nodes), fmt.Sprintf("there are nodes 0 to %d", nodes-1)},
+		{"nodes", len(fault.Nodes) > 0 && !traits.onNodes, "a " + kind + " acts on no node"},
+		{"nodes", traits.onNodes && noNodes, "must be named, or a share be given"},
+		{"proxies", outside(fault.Proxies, proxies), fmt.Sprintf("there are proxies 0 to %d", proxies-1)},
+		{"proxies", len(fault.Proxies) > 0 && !traits.onProxies, "a " + kind + " acts on no proxy"},
+		{"proxies", traits.onProxies && len(fault.Proxies) == 0, "must be named"},
+		{"share", !isShare(fault.Share) || traits.requiredKey == "share" && fault.Share == 0, "must be above 0, 1 at most"},
+		{"factor", fault.Factor < 0 || traits.requiredKey == "factor" && fault.Factor == 0, "must be above 0"},
+		{"by", fault.ListDelay < 0 || traits.requiredKey == "by" && fault.ListDelay == 0, "must be above 0"},
+		{"count", fault.Count < 0 || traits.requiredKey == "count" && fault.Count == 0 || tooManyAdded,
 			"must be above 0, and there must be as many spare nodes to add"},
 	}
 }
--- a/internal/rehearse/compare.go
+++ b/internal/rehearse/compare.go
@@ -30,8 +30,8 @@
 }
 
 var comparedFigures = []comparedFigure{
-	{"handshake p50, ms", func(r *Report) float64 { return r.Connects.P50 }},
-	{"handshake p99, ms", func(r *Report) float64 { return r.Connects.P99 }},
+	{"handshake p50, ms", func(r *Report) float64 { return r.Handshakes.P50 }},
+	{"handshake p99, ms", func(r *Report) float64 { return r.Handshakes.P99 }},
 	{"message p50, ms", func(r *Report) float64 { return r.Messages.P50 }},
 	{"message p99, ms", func(r *Report) float64 { return r.Messages.P99 }},
 	{"not accepted, share", func(r *Report) float64 { return 1 - float64(r.Clients.Served)/r.sessionsOrOne() }},
@@ -126,9 +126,9 @@
 		return r
 	}
 	mean, deviation := stat.MeanStdDev(logs, nil)
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(logs) - 1)}.Quantile(0.975)
-	half := t * deviation / math.Sqrt(float64(len(logs)))
-	r.Ratio, r.Low, r.High = math.Exp(mean), math.Exp(mean-half), math.Exp(mean+half)
+	tQuantile := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(logs) - 1)}.Quantile(0.975)
+	margin := tQuantile * deviation / math.Sqrt(float64(len(logs)))
+	r.Ratio, r.Low, r.High = math.Exp(mean), math.Exp(mean-margin), math.Exp(mean+margin)
 	r.Noise = r.Low <= 1 && r.High >= 1
 	return r
 }
@@ -147,16 +147,16 @@
 }
 
 // Print writes the comparison for people.
-func (c *Comparison) Print(to io.Writer) {
-	fmt.Fprintf(to, "%s, %d pairs; B over A, with the interval of 95%%\n", c.Scenario, c.Pairs)
+func (c *Comparison) Print(out io.Writer) {
+	fmt.Fprintf(out, "%s, %d pairs; B over A, with the interval of 95%%\n", c.Scenario, c.Pairs)
 	for _, r := range c.Ratios {
-		fmt.Fprintf(to, "%-20s A %9.3f  B %9.3f  ratio %.3f (%.3f to %.3f)  %s\n", r.Figure, r.A, r.B, r.Ratio, r.Low, r.High, r.conclusion())
+		fmt.Fprintf(out, "%-20s A %9.3f  B %9.3f  ratio %.3f (%.3f to %.3f)  %s\n", r.Figure, r.A, r.B, r.Ratio, r.Low, r.High, r.conclusion())
 	}
 	for _, text := range c.Unbound {
-		fmt.Fprintf(to, "NOT BOUND: %s\n", text)
+		fmt.Fprintf(out, "NOT BOUND: %s\n", text)
 	}
 	for _, text := range c.Failed {
-		fmt.Fprintf(to, "FAILED: %s\n", text)
+		fmt.Fprintf(out, "FAILED: %s\n", text)
 	}
 }
 
--- a/internal/rehearse/fault.go
+++ b/internal/rehearse/fault.go
@@ -36,32 +36,32 @@
 
 // faultTraits are what a kind acts on and which keys it takes.
 type faultTraits struct {
-	nodes, proxies bool
-	needs          string // another key that must not be 0
-	lasts          bool   // takes a duration
+	onNodes, onProxies bool
+	requiredKey        string // another key that must not be 0
+	hasDuration        bool   // takes a duration
 }
 
 var faultKinds = map[FaultKind]faultTraits{
-	faultHang:           {nodes: true, lasts: true},
-	faultSlow:           {nodes: true, lasts: true, needs: "factor"},
-	faultStall:          {nodes: true, lasts: true},
-	faultKill:           {nodes: true, lasts: true},
-	faultVanish:         {nodes: true, lasts: true},
-	faultHalfOpen:       {nodes: true, needs: "share"},
-	faultDrain:          {nodes: true, lasts: true},
-	faultRestart:        {nodes: true},
-	faultAdd:            {needs: "count"},
-	faultListLate:       {lasts: true, needs: "by"},
-	faultListDown:       {lasts: true},
-	faultListCut:        {lasts: true},
-	faultListStale:      {lasts: true},
+	faultHang:           {onNodes: true, hasDuration: true},
+	faultSlow:           {onNodes: true, hasDuration: true, requiredKey: "factor"},
+	faultStall:          {onNodes: true, hasDuration: true},
+	faultKill:           {onNodes: true, hasDuration: true},
+	faultVanish:         {onNodes: true, hasDuration: true},
+	faultHalfOpen:       {onNodes: true, requiredKey: "share"},
+	faultDrain:          {onNodes: true, hasDuration: true},
+	faultRestart:        {onNodes: true},
+	faultAdd:            {requiredKey: "count"},
+	faultListLate:       {hasDuration: true, requiredKey: "by"},
+	faultListDown:       {hasDuration: true},
+	faultListCut:        {hasDuration: true},
+	faultListStale:      {hasDuration: true},
 	faultListMoved:      {},
-	faultProxyKill:      {proxies: true, lasts: true},
-	faultProxyLeave:     {proxies: true, lasts: true},
-	faultProxyReload:    {proxies: true},
-	faultClientsDrop:    {needs: "share"},
-	faultBadClients:     {needs: "count", lasts: true},
-	faultSilentClients:  {needs: "count", lasts: true},
+	faultProxyKill:      {onProxies: true, hasDuration: true},
+	faultProxyLeave:     {onProxies: true, hasDuration: true},
+	faultProxyReload:    {onProxies: true},
+	faultClientsDrop:    {requiredKey: "share"},
+	faultBadClients:     {requiredKey: "count", hasDuration: true},
+	faultSilentClients:  {requiredKey: "count", hasDuration: true},
 	faultRollingRestart: {},
 }
 
--- a/internal/rehearse/faults.go
+++ b/internal/rehearse/faults.go
@@ -32,18 +32,18 @@
 // inject injects one fault, and ends it after its duration.
 func (r *rehearsal) inject(ctx context.Context, f Fault) {
 	var undo []func()
-	add := func(call func()) {
+	addUndo := func(call func()) {
 		if call != nil {
 			undo = append(undo, call)
 		}
 	}
 	for _, i := range f.Nodes {
-		add(r.injectAtNode(ctx, f, i))
+		addUndo(r.injectAtNode(ctx, f, i))
 	}
 	for _, i := range f.Proxies {
-		add(r.injectAtProxy(ctx, f, i))
+		addUndo(r.injectAtProxy(ctx, f, i))
 	}
-	add(r.injectAtPlatform(ctx, f))
+	addUndo(r.injectAtPlatform(ctx, f))
 	if len(undo) > 0 && f.Duration > 0 && r.sleep(ctx, f.At.D()+f.Duration.D()-r.now()) {
 		for _, call := range undo {
 			call()
@@ -72,9 +72,9 @@
 		r.relist(i, target.Start(false))
 	case faultVanish:
 		if err := target.Vanish(); err != nil {
-			r.addTrouble("node %d can't vanish: %v", i, err)
+			r.addRunError("node %d can't vanish: %v", i, err)
 		}
-		return func() { r.relist(i, target.Return()) }
+		return func() { r.relist(i, target.Restore()) }
 	case faultHalfOpen:
 		target.HalfOpen(f.Share)
 	case faultDrain:
@@ -129,9 +129,9 @@
 			r.reloadProxy(i, true)
 		}
 	case faultClientsDrop:
-		r.clients.Drop(f.Share)
+		r.clients.DisconnectShare(f.Share)
 	case faultBadClients, faultSilentClients:
-		r.badClients.run(ctx, r, f)
+		r.badClients.send(ctx, r, f)
 	case faultRollingRestart:
 		r.rollingRestart(ctx)
 	}
@@ -155,7 +155,7 @@
 // relist lists a node that has started again, at whatever address it has.
 func (r *rehearsal) relist(i int, err error) {
 	if err != nil {
-		r.addTrouble("node %d does not start again: %v", i, err)
+		r.addRunError("node %d does not start again: %v", i, err)
 		return
 	}
 	n := r.nodes[i]
--- a/internal/rehearse/generate.go
+++ b/internal/rehearse/generate.go
@@ -12,8 +12,8 @@
 	"chalkferry/internal/standin/judge"
 )
 
-// maxAnswerTime is how long proxies may take to answer a first probe.
-const maxAnswerTime = 5 * time.Second
+// maxProbeWait is how long proxies may take to answer a first probe.
+const maxProbeWait = 5 * time.Second
 
 // GenerateLoad sends a scenario's sessions at proxies that run already, with no simulated platform behind them: only what
 // clients see is checked.
@@ -23,7 +23,7 @@
 		return nil, err
 	}
 	r := &rehearsal{scenario: s}
-	r.startIn(2 * maxStartTime)
+	r.setStart(2 * maxStartTime)
 	r.judge = judge.New(leeway, 0, 0, s.Proxies.PassThrough, nil)
 	r.judge.ObserveClientsOnly()
 	r.front = front.New(s.Seed, r.now, s.Proxies.DetectionDelay.D())
@@ -32,15 +32,15 @@
 	}
 	r.clients = client.New(s.Seed, r.now, r.judge, r.front, s.clientBehavior(), s.Window.D(), s.LateBound.D())
 	r.clients.ProxyGone = func(judge.ProxyID) bool { return false }
-	stop, cancel := context.WithCancel(ctx)
+	probeCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var probing sync.WaitGroup
-	probing.Go(func() { r.front.Run(stop) })
+	probing.Go(func() { r.front.Run(probeCtx) })
 	if err := r.waitAnswering(ctx, len(addresses)); err != nil {
 		return nil, err
 	}
-	r.startIn(2 * tick)
-	r.play(ctx, sessions, progress)
+	r.setStart(2 * tickInterval)
+	r.runSessions(ctx, sessions, progress)
 	cancel()
 	probing.Wait()
 	return r.report(len(sessions), ctx.Err() != nil), nil
@@ -48,12 +48,12 @@
 
 // waitAnswering waits until all addresses have answered a probe.
 func (r *rehearsal) waitAnswering(ctx context.Context, addresses int) error {
-	for limit := time.Now().Add(maxAnswerTime); r.front.ReadyCount() < addresses; {
+	for limit := time.Now().Add(maxProbeWait); r.front.ReadyCount() < addresses; {
 		if time.Now().After(limit) {
 			return fmt.Errorf("%d of %d addresses answer PING with PONG", r.front.ReadyCount(), addresses)
 		}
 		select {
-		case <-time.After(tick):
+		case <-time.After(tickInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/internal/rehearse/html.go
+++ b/internal/rehearse/html.go
@@ -78,8 +78,8 @@
 
 func (r *Report) charts() []chartSpec {
 	charts := []chartSpec{
-		{"Handshakes, by the second in which they were to begin", "ms", quantileLines(r.ConnectBy)},
-		{"Messages, by the second in which they were to be sent", "ms", quantileLines(r.MessageBy)},
+		{"Handshakes, by the second in which they were to begin", "ms", quantileLines(r.HandshakeWindows)},
+		{"Messages, by the second in which they were to be sent", "ms", quantileLines(r.MessageWindows)},
 	}
 	return append(charts, r.sampleCharts()...)
 }
@@ -92,12 +92,12 @@
 		p50 = append(p50, w.P50)
 		p99 = append(p99, w.P99)
 	}
-	return []chart.Series{line("p50", 0, seconds, p50), line("p99", 1, seconds, p99)}
+	return []chart.Series{lineSeries("p50", 0, seconds, p50), lineSeries("p99", 1, seconds, p99)}
 }
 
 // sampleCharts are the curves of what was sampled since the run's start.
 func (r *Report) sampleCharts() []chartSpec {
-	var seconds, open, most, least, load []float64
+	var seconds, open, maxSessions, minSessions, maxLoad []float64
 	descriptors := make([][]float64, len(r.Proxies))
 	for _, s := range r.Samples {
 		if s.AtMs < 0 {
@@ -105,21 +105,21 @@
 		}
 		seconds = append(seconds, s.AtMs/1000)
 		open = append(open, float64(s.OpenSessions))
-		load = append(load, s.MaxLoad)
+		maxLoad = append(maxLoad, s.MaxLoad)
 		low, high := s.sessionRange()
-		most, least = append(most, float64(high)), append(least, float64(low))
+		maxSessions, minSessions = append(maxSessions, float64(high)), append(minSessions, float64(low))
 		for i := range descriptors {
 			descriptors[i] = append(descriptors[i], float64(s.FDs[i]))
 		}
 	}
 	var proxies []chart.Series
 	for i := range descriptors {
-		proxies = append(proxies, line(r.Proxies[i].Name, i, seconds, descriptors[i]))
+		proxies = append(proxies, lineSeries(r.Proxies[i].Name, i, seconds, descriptors[i]))
 	}
 	return []chartSpec{
-		{"Open sessions", "sessions", []chart.Series{line("all", 0, seconds, open), line("most at one node", 1, seconds, most),
-			line("least at one node", 2, seconds, least)}},
-		{"The node asked for most of what it can do", "asked over capacity", []chart.Series{line("load", 0, seconds, load)}},
+		{"Open sessions", "sessions", []chart.Series{lineSeries("all", 0, seconds, open), lineSeries("most at one node", 1, seconds, maxSessions),
+			lineSeries("least at one node", 2, seconds, minSessions)}},
+		{"The node asked for most of what it can do", "asked over capacity", []chart.Series{lineSeries("load", 0, seconds, maxLoad)}},
 		{"Descriptors of the proxies", "descriptors", proxies},
 	}
 }
@@ -132,22 +132,22 @@
 	return slices.Min(s.SessionsByNode), slices.Max(s.SessionsByNode)
 }
 
-// line is a curve.
-func line(name string, color int, x, y []float64) chart.Series {
+// lineSeries is a curve.
+func lineSeries(name string, color int, x, y []float64) chart.Series {
 	return chart.ContinuousSeries{Name: name, XValues: x, YValues: y,
 		Style: chart.Style{StrokeColor: chart.GetDefaultColor(color), StrokeWidth: 2}}
 }
 
 // renderSVG draws series over the seconds of the run; "" where there is nothing to draw.
-func renderSVG(axis string, series []chart.Series) (template.HTML, error) {
-	top := 0.0
+func renderSVG(valueAxis string, series []chart.Series) (template.HTML, error) {
+	maxValue := 0.0
 	for _, s := range series {
 		c := s.(chart.ContinuousSeries)
 		if len(c.XValues) < 2 {
 			return "", nil
 		}
 		for _, v := range c.YValues {
-			top = max(top, v)
+			maxValue = max(maxValue, v)
 		}
 	}
 	if len(series) == 0 {
@@ -155,12 +155,12 @@
 	}
 	graph := chart.Chart{Width: 960, Height: 280, Background: chart.Style{Padding: chart.Box{Top: 30, Left: 10, Right: 10, Bottom: 10}, FillColor: drawing.ColorWhite},
 		XAxis:  chart.XAxis{Name: "s", ValueFormatter: func(v any) string { return fmt.Sprintf("%.0f", v) }},
-		YAxis:  chart.YAxis{Name: axis, Range: &chart.ContinuousRange{Min: 0, Max: max(top*1.05, 1)}},
+		YAxis:  chart.YAxis{Name: valueAxis, Range: &chart.ContinuousRange{Min: 0, Max: max(maxValue*1.05, 1)}},
 		Series: series}
 	graph.Elements = []chart.Renderable{chart.LegendThin(&graph)}
-	var to bytes.Buffer
-	if err := graph.Render(chart.SVG, &to); err != nil {
+	var svg bytes.Buffer
+	if err := graph.Render(chart.SVG, &svg); err != nil {
 		return "", err
 	}
-	return template.HTML(to.String()), nil // made here of numbers and our own names
+	return template.HTML(svg.String()), nil // made here of numbers and our own names
 }
--- a/internal/rehearse/monitor.go
+++ b/internal/rehearse/monitor.go
@@ -11,7 +11,7 @@
 
 // monitor advances the nodes and the judge and samples the processes while the run lasts.
 func (r *rehearsal) monitor(ctx context.Context, sessions int, progress io.Writer) {
-	ticks := time.NewTicker(tick)
+	ticks := time.NewTicker(tickInterval)
 	defer ticks.Stop()
 	sampled := r.now()
 	for {
@@ -24,7 +24,7 @@
 			each.Tick()
 		}
 		r.judge.Check(r.now())
-		if r.now()-sampled < sampleEvery {
+		if r.now()-sampled < sampleInterval {
 			continue
 		}
 		sampled = r.now()
@@ -44,7 +44,7 @@
 			r.judge.ProxyDied(judge.ProxyID(i))
 		}
 	}
-	s := Sample{AtMs: float64(r.now().Milliseconds()), OpenSessions: r.clients.Open()}
+	s := Sample{AtMs: float64(r.now().Milliseconds()), OpenSessions: r.clients.OpenSessions()}
 	for _, each := range r.nodes {
 		stats := each.Stats()
 		s.SessionsByNode = append(s.SessionsByNode, stats.Sessions)
@@ -65,7 +65,7 @@
 }
 
 // printProgress overwrites the line about the run's progress.
-func (r *rehearsal) printProgress(to io.Writer, sample Sample, sessions int) {
+func (r *rehearsal) printProgress(out io.Writer, sample Sample, sessions int) {
 	counts := r.clients.Counts()
 	_, byRule := r.judge.Violations()
 	violations := 0
@@ -73,6 +73,6 @@
 		violations += n
 	}
 	length := (r.scenario.Length + r.scenario.Settle).D()
-	fmt.Fprintf(to, "\r%s  %4.1f of %.1f s  sessions %d of %d  open %d  refused %d  rules broken %d \x1b[K", r.scenario.Name,
+	fmt.Fprintf(out, "\r%s  %4.1f of %.1f s  sessions %d of %d  open %d  refused %d  rules broken %d \x1b[K", r.scenario.Name,
 		r.now().Seconds(), length.Seconds(), counts.Sessions, sessions, sample.OpenSessions, counts.Refused, violations)
 }
--- a/internal/rehearse/process.go
+++ b/internal/rehearse/process.go
@@ -50,8 +50,8 @@
 
 	arguments []string // further ones of its command
 
-	// changing is held by the fault that changes the configuration or restarts the process: several may meet at one proxy.
-	changing sync.Mutex // guards cpu, too
+	// changeMu is held by the fault that changes the configuration or restarts the process: several may meet at one proxy.
+	changeMu sync.Mutex // guards cpu, too
 
 	mu               sync.Mutex
 	state            processState
@@ -163,11 +163,11 @@
 	p.cpuTime, p.fds, p.rss = 0, 0, 0
 	if p.state == running {
 		p.state = crashed
-		text := "it ended by itself"
+		reason := "it ended by itself"
 		if err != nil {
-			text = err.Error()
+			reason = err.Error()
 		}
-		p.crashReasons = append(p.crashReasons, text)
+		p.crashReasons = append(p.crashReasons, reason)
 	} else if p.state == ending {
 		p.state = stopped
 	}
@@ -175,13 +175,13 @@
 }
 
 // signal sends a signal, which ends the process or does not. One that does not run is left as it is.
-func (p *process) signal(sig syscall.Signal, ends bool) {
+func (p *process) signal(sig syscall.Signal, terminates bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.state != running && p.state != ending {
 		return
 	}
-	if ends {
+	if terminates {
 		p.state = ending
 	}
 	p.cmd.Process.Signal(sig) // it may have ended just now
@@ -267,13 +267,13 @@
 		p.samplesAtFDLimit++
 	}
 	p.cpuTime = time.Duration(stat.CPUTime() * float64(time.Second))
-	over := status.VmRSS > uint64(p.memoryMB)*bytesPerMB
-	if over && p.state == running {
+	overLimit := status.VmRSS > uint64(p.memoryMB)*bytesPerMB
+	if overLimit && p.state == running {
 		p.state = crashed
 		p.crashReasons = append(p.crashReasons, fmt.Sprintf("killed: it used %d MB of %d", status.VmRSS/bytesPerMB, p.memoryMB))
 	}
 	p.mu.Unlock()
-	if over {
+	if overLimit {
 		p.cmd.Process.Kill()
 	}
 }
--- a/internal/rehearse/proxies.go
+++ b/internal/rehearse/proxies.go
@@ -52,26 +52,26 @@
 // restartProxy starts a proxy again with the list as it is now.
 func (r *rehearsal) restartProxy(i int) {
 	p := r.processes[i]
-	p.changing.Lock()
-	defer p.changing.Unlock()
+	p.changeMu.Lock()
+	defer p.changeMu.Unlock()
 	p.kill()
 	p.config.Known = r.list.Snapshot()
 	r.judge.ProxyStarted(r.now(), judge.ProxyID(i))
 	r.front.SetLeaving(judge.ProxyID(i), false)
 	if err := p.start(); err != nil {
-		r.addTrouble("proxy %d does not start again: %v", i, err)
+		r.addRunError("proxy %d does not start again: %v", i, err)
 	}
 }
 
 // reloadProxy replaces a proxy's configuration and sends it SIGHUP; discoveryMoved gives discovery another address.
 func (r *rehearsal) reloadProxy(i int, discoveryMoved bool) {
 	p := r.processes[i]
-	p.changing.Lock()
-	defer p.changing.Unlock()
+	p.changeMu.Lock()
+	defer p.changeMu.Unlock()
 	if discoveryMoved {
 		next, err := r.list.OpenEndpoint(p.id, "127.0.0.1:0")
 		if err != nil {
-			r.addTrouble("discovery can't move for proxy %d: %v", i, err)
+			r.addRunError("discovery can't move for proxy %d: %v", i, err)
 			return
 		}
 		previous := p.endpoint
@@ -81,7 +81,7 @@
 	}
 	p.config.Known = r.list.Snapshot()
 	if _, err := p.writeConfig(); err != nil {
-		r.addTrouble("proxy %d's configuration: %v", i, err)
+		r.addRunError("proxy %d's configuration: %v", i, err)
 		return
 	}
 	p.signal(syscall.SIGHUP, false)
@@ -100,18 +100,18 @@
 }
 
 // keepLogs copies the proxies' logs to a folder.
-func (r *rehearsal) keepLogs(to string) (troubles []string) {
-	if err := os.MkdirAll(to, 0o755); err != nil {
+func (r *rehearsal) keepLogs(folder string) (errorTexts []string) {
+	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return []string{err.Error()}
 	}
 	for i, p := range r.processes {
 		text, err := os.ReadFile(p.logFile())
 		if err == nil {
-			err = os.WriteFile(filepath.Join(to, fmt.Sprintf("n%d.log", i)), text, 0o644)
+			err = os.WriteFile(filepath.Join(folder, fmt.Sprintf("n%d.log", i)), text, 0o644)
 		}
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
-			troubles = append(troubles, err.Error())
+			errorTexts = append(errorTexts, err.Error())
 		}
 	}
-	return troubles
+	return errorTexts
 }
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -26,7 +26,7 @@
 }
 
 // faultyProxy is a proxy that places by no rule and breaks the one that it is named for.
-func faultyProxy(how, file string) {
+func faultyProxy(behavior, file string) {
 	var config struct {
 		Listen, Discovery string
 		Known             struct {
@@ -55,16 +55,16 @@
 			os.Exit(5)
 		}
 		nodes := config.Known.Members
-		at := n
-		if how == "cold" || how == "drain" {
-			at = 0
+		index := n
+		if behavior == "cold" || behavior == "drain" {
+			index = 0
 		}
-		go handleFaulty(how, c, nodes[at%len(nodes)].HostPort, nodes[(at+1)%len(nodes)].HostPort)
+		go handleFaulty(behavior, c, nodes[index%len(nodes)].HostPort, nodes[(index+1)%len(nodes)].HostPort)
 	}
 }
 
 // handleFaulty serves one client of the faulty proxy.
-func handleFaulty(how string, c net.Conn, first, second string) {
+func handleFaulty(behavior string, c net.Conn, firstNode, secondNode string) {
 	defer c.Close()
 	lines := bufio.NewReader(c)
 	open, err := lines.ReadString('\n')
@@ -85,7 +85,7 @@
 		answer, _ := r.ReadString('\n')
 		return s, r, answer
 	}
-	switch how {
+	switch behavior {
 	case "silent":
 		time.Sleep(5 * time.Second)
 		return
@@ -98,42 +98,42 @@
 	case "gives-up":
 		return
 	}
-	s, r, up := dial(first)
-	if s == nil {
+	server, serverLines, answer := dial(firstNode)
+	if server == nil {
 		fmt.Fprint(c, "BUSY\r\n")
 		return
 	}
-	defer s.Close()
-	switch how {
+	defer server.Close()
+	switch behavior {
 	case "two-dials":
-		other, _, _ := dial(second)
+		other, _, _ := dial(secondNode)
 		if other != nil {
 			defer other.Close()
 		}
 		time.Sleep(150 * time.Millisecond)
 	case "again": // after a dial that has run
-		s.Close()
-		if s, r, up = dial(second); s == nil {
+		server.Close()
+		if server, serverLines, answer = dial(secondNode); server == nil {
 			return
 		}
-		defer s.Close()
+		defer server.Close()
 	}
-	fmt.Fprint(c, up)
-	if how == "cuts-off" {
+	fmt.Fprint(c, answer)
+	if behavior == "cuts-off" {
 		time.Sleep(200 * time.Millisecond)
 		return
 	}
-	if how == "holds-back" {
+	if behavior == "holds-back" {
 		time.Sleep(1500 * time.Millisecond)
 	}
 	go func() {
-		lines.WriteTo(s)
-		s.(*net.TCPConn).CloseWrite()
+		lines.WriteTo(server)
+		server.(*net.TCPConn).CloseWrite()
 	}()
-	r.WriteTo(c)
+	serverLines.WriteTo(c)
 }
 
-const small = `length = "%s"
+const smallScenarioTemplate = `length = "%s"
 [proxies]
 count = 1
 [platform]
@@ -164,8 +164,8 @@
 	drain := "[[fault]]\nkind = \"drain\"\nat = \"200ms\"\nfor = \"2s\"\nnodes = [0]\n"
 	restart := "[[fault]]\nkind = \"restart\"\nat = \"100ms\"\nnodes = [0]\n"
 	for _, c := range []struct {
-		how, effect, faults, platform string
-		rule                          judge.Rule
+		behavior, effect, faults, platform string
+		rule                               judge.Rule
 	}{
 		{"kind", "repeatable", "", "", ""},
 		{"kind", "once-only", "", "", ""},
@@ -180,13 +180,13 @@
 		{"drain", "repeatable", drain, "", judge.DrainIgnored},
 		{"cold", "repeatable", restart, "sessions_per_core = 4", judge.ColdNodeOverloaded},
 	} {
-		t.Run(c.how+" "+c.effect, func(t *testing.T) {
+		t.Run(c.behavior+" "+c.effect, func(t *testing.T) {
 			t.Parallel()
-			s, err := Parse("small.toml", fmt.Appendf(nil, small, "3s", c.platform, c.effect, c.faults))
+			s, err := Parse("small.toml", fmt.Appendf(nil, smallScenarioTemplate, "3s", c.platform, c.effect, c.faults))
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := runAs(t, context.Background(), s, c.how)
+			r := runWithFaultyProxy(t, context.Background(), s, c.behavior)
 			if r.Scheduled != 60 || c.rule == "" && len(r.Rules) > 0 {
 				t.Fatalf("%d sessions, %v", r.Scheduled, r.Rules)
 			}
@@ -196,23 +196,23 @@
 			if r.RuleCounts[c.rule] == 0 || r.OK() {
 				t.Fatalf("%q was not found: %v, %v, %+v, %+v", c.rule, r.RuleCounts, r.Failed, r.Clients, r.Samples)
 			}
-			for _, b := range r.Rules {
-				if b.Rule == c.rule && c.rule != judge.ColdNodeOverloaded && (b.Session == "" || b.AtMs <= 0) {
-					t.Errorf("no session or time: %v", b)
+			for _, violation := range r.Rules {
+				if violation.Rule == c.rule && c.rule != judge.ColdNodeOverloaded && (violation.Session == "" || violation.AtMs <= 0) {
+					t.Errorf("no session or time: %v", violation)
 				}
 			}
 		})
 	}
 }
 
-// runAs runs a scenario with the test's program as the proxy that it is named.
-func runAs(t *testing.T, ctx context.Context, s *Scenario, how string) *Report {
+// runWithFaultyProxy runs a scenario with the test's program as the proxy that it is named.
+func runWithFaultyProxy(t *testing.T, ctx context.Context, s *Scenario, behavior string) *Report {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	binary := filepath.Join(t.TempDir(), how)
+	binary := filepath.Join(t.TempDir(), behavior)
 	if err := os.Symlink(self, binary); err != nil {
 		t.Fatal(err)
 	}
@@ -226,18 +226,18 @@
 // An interrupted run reports what it has seen and leaves no process behind.
 func TestInterrupted(t *testing.T) {
 	t.Parallel()
-	s, err := Parse("small.toml", fmt.Appendf(nil, small, "20s", "", "repeatable", ""))
+	s, err := Parse("small.toml", fmt.Appendf(nil, smallScenarioTemplate, "20s", "", "repeatable", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	r := runAs(t, ctx, s, "kind")
+	r := runWithFaultyProxy(t, ctx, s, "kind")
 	if !r.Interrupted || r.Sessions == 0 || r.Sessions >= int64(r.Scheduled) || len(r.Rules) > 0 {
 		t.Fatalf("interrupted %v, %d of %d sessions, %v", r.Interrupted, r.Sessions, r.Scheduled, r.Rules)
 	}
-	for _, id := range proxiesOf(t) {
-		t.Errorf("process %d is left behind", id)
+	for _, pid := range proxyPIDs(t) {
+		t.Errorf("process %d is left behind", pid)
 	}
 	for _, write := range []func(string) error{r.WriteJSON, r.WriteHTML} {
 		file := filepath.Join(t.TempDir(), "report")
@@ -252,7 +252,7 @@
 
 // A program that does not serve is reported with the end of its log, and no process is left.
 func TestNoProxy(t *testing.T) {
-	s, err := Parse("small.toml", fmt.Appendf(nil, small, "2s", "", "repeatable", ""))
+	s, err := Parse("small.toml", fmt.Appendf(nil, smallScenarioTemplate, "2s", "", "repeatable", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -263,22 +263,22 @@
 
 // A scenario with a mistake is refused with its line, before anything is started.
 func TestRefusedScenarios(t *testing.T) {
-	good := fmt.Sprintf(small, "3s", "", "repeatable", "")
-	n := strings.Count(good, "\n") + 1
+	validText := fmt.Sprintf(smallScenarioTemplate, "3s", "", "repeatable", "")
+	lines := strings.Count(validText, "\n") + 1
 	for _, c := range []struct {
 		text, want string
 	}{
-		{strings.Replace(good, "nodes = 2", "nodes = 2\ncolour = 1", 1), "bad.toml:6: unknown key"},
-		{strings.Replace(good, "nodes = 2", "nodes = 0", 1), "bad.toml:5: platform.nodes: "},
-		{strings.Replace(good, "rate = 20", "rate = -1.0", 1), fmt.Sprintf("bad.toml:%d: arrivals[0].rate: ", n-1)},
-		{strings.Replace(good, `"repeatable"`, `"sometimes"`, 1), "effect"},
-		{good + "[[fault]]\nkind = \"hang\"\nat = \"4s\"\nnodes = [0]", fmt.Sprintf("bad.toml:%d: fault[0].at: ", n+2)},
-		{good + "[[fault]]\nkind = \"hang\"\nat = \"1s\"\nfor = \"9s\"\nnodes = [0]", fmt.Sprintf("bad.toml:%d: fault[0].for: ", n+3)},
-		{good + "[[fault]]\nkind = \"hang\"\nat = \"1s\"\nnodes = [7]", fmt.Sprintf("bad.toml:%d: fault[0].nodes: there are nodes 0 to 2", n+3)},
-		{good + "[[fault]]\nkind = \"hang\"\nat = \"1s\"", fmt.Sprintf("bad.toml:%d: fault[0].nodes: must be named", n)},
-		{good + "[[fault]]\nkind = \"sulk\"\nat = \"1s\"", fmt.Sprintf("bad.toml:%d: fault[0].kind: ", n+1)},
-		{good + "[[fault]]\nkind = \"proxy-kill\"\nat = \"1s\"\nproxies = [3]", "proxies 0 to 0"},
-		{good + "[trace]\nspeed = 1000.0", "trace.speed"},
+		{strings.Replace(validText, "nodes = 2", "nodes = 2\ncolour = 1", 1), "bad.toml:6: unknown key"},
+		{strings.Replace(validText, "nodes = 2", "nodes = 0", 1), "bad.toml:5: platform.nodes: "},
+		{strings.Replace(validText, "rate = 20", "rate = -1.0", 1), fmt.Sprintf("bad.toml:%d: arrivals[0].rate: ", lines-1)},
+		{strings.Replace(validText, `"repeatable"`, `"sometimes"`, 1), "effect"},
+		{validText + "[[fault]]\nkind = \"hang\"\nat = \"4s\"\nnodes = [0]", fmt.Sprintf("bad.toml:%d: fault[0].at: ", lines+2)},
+		{validText + "[[fault]]\nkind = \"hang\"\nat = \"1s\"\nfor = \"9s\"\nnodes = [0]", fmt.Sprintf("bad.toml:%d: fault[0].for: ", lines+3)},
+		{validText + "[[fault]]\nkind = \"hang\"\nat = \"1s\"\nnodes = [7]", fmt.Sprintf("bad.toml:%d: fault[0].nodes: there are nodes 0 to 2", lines+3)},
+		{validText + "[[fault]]\nkind = \"hang\"\nat = \"1s\"", fmt.Sprintf("bad.toml:%d: fault[0].nodes: must be named", lines)},
+		{validText + "[[fault]]\nkind = \"sulk\"\nat = \"1s\"", fmt.Sprintf("bad.toml:%d: fault[0].kind: ", lines+1)},
+		{validText + "[[fault]]\nkind = \"proxy-kill\"\nat = \"1s\"\nproxies = [3]", "proxies 0 to 0"},
+		{validText + "[trace]\nspeed = 1000.0", "trace.speed"},
 		{`length = "3s"`, "listener: there is none"},
 	} {
 		if _, err := Parse("bad.toml", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
--- a/internal/rehearse/report.go
+++ b/internal/rehearse/report.go
@@ -36,7 +36,7 @@
 // Shortages count what failed for want of descriptors, by who was short.
 type Shortages struct {
 	Generator int64 `json:"generator"`
-	StandIns  int   `json:"standins"`
+	Nodes     int   `json:"standins"`
 	Proxies   int   `json:"proxies"` // samples at the limit, and sessions that a proxy refused for want of them
 }
 
@@ -51,37 +51,37 @@
 
 // Report is what was seen.
 type Report struct {
-	Scenario    string             `json:"scenario"`
-	Seed        int64              `json:"seed"`
-	Cores       int                `json:"cores"` // of the machine
-	LengthMs    float64            `json:"length_ms"`
-	Interrupted bool               `json:"interrupted"`
-	Unbound     string             `json:"unbound,omitempty"` // why proxies that were to have processors of their own had none
-	Scheduled   int                `json:"scheduled"`
-	Sessions    int64              `json:"sessions"`
-	Answers     map[string]int64   `json:"answers"`
-	Clients     client.Counts      `json:"clients"`
-	OpenAtEnd   int                `json:"open_at_end"`
-	Rules       []judge.Violation  `json:"rules_broken"`
-	RuleCounts  map[judge.Rule]int `json:"rules_counted"`
-	Late        bool               `json:"late"` // the generator was; the latencies are its own as well
-	LateSends   int64              `json:"late_sends"`
-	LateBoundMs float64            `json:"late_bound_ms"`
-	Lateness    load.Summary       `json:"lateness_ms"`
-	Connects    load.Summary       `json:"connect_ms"`
-	Messages    load.Summary       `json:"message_ms"`
-	ConnectBy   []load.Window      `json:"connect_windows"`
-	MessageBy   []load.Window      `json:"message_windows"`
-	Quantiles   []float64          `json:"quantiles"`
-	ConnectAt   []float64          `json:"connect_at_quantiles_ms"`
-	MessageAt   []float64          `json:"message_at_quantiles_ms"`
-	Proxies     []ProxyUse         `json:"proxies"`
-	Short       Shortages          `json:"short_of_descriptors"`
-	BadClients  BadClients         `json:"bad_clients"`
-	Faults      []string           `json:"faults"`
-	Samples     []Sample           `json:"samples"`
-	Trouble     []string           `json:"trouble,omitempty"` // of the rehearsal itself
-	Failed      []string           `json:"failed"`            // reasons of a failed verdict, by rules and counts
+	Scenario             string             `json:"scenario"`
+	Seed                 int64              `json:"seed"`
+	Cores                int                `json:"cores"` // of the machine
+	LengthMs             float64            `json:"length_ms"`
+	Interrupted          bool               `json:"interrupted"`
+	Unbound              string             `json:"unbound,omitempty"` // why proxies that were to have processors of their own had none
+	Scheduled            int                `json:"scheduled"`
+	Sessions             int64              `json:"sessions"`
+	Answers              map[string]int64   `json:"answers"`
+	Clients              client.Counts      `json:"clients"`
+	OpenAtEnd            int                `json:"open_at_end"`
+	Rules                []judge.Violation  `json:"rules_broken"`
+	RuleCounts           map[judge.Rule]int `json:"rules_counted"`
+	Late                 bool               `json:"late"` // the generator was; the latencies are its own as well
+	LateSends            int64              `json:"late_sends"`
+	LateBoundMs          float64            `json:"late_bound_ms"`
+	Lateness             load.Summary       `json:"lateness_ms"`
+	Handshakes           load.Summary       `json:"connect_ms"`
+	Messages             load.Summary       `json:"message_ms"`
+	HandshakeWindows     []load.Window      `json:"connect_windows"`
+	MessageWindows       []load.Window      `json:"message_windows"`
+	Quantiles            []float64          `json:"quantiles"`
+	HandshakeAtQuantiles []float64          `json:"connect_at_quantiles_ms"`
+	MessageAtQuantiles   []float64          `json:"message_at_quantiles_ms"`
+	Proxies              []ProxyUse         `json:"proxies"`
+	DescriptorShortages  Shortages          `json:"short_of_descriptors"`
+	BadClients           BadClients         `json:"bad_clients"`
+	Faults               []string           `json:"faults"`
+	Samples              []Sample           `json:"samples"`
+	RunErrors            []string           `json:"trouble,omitempty"` // of the rehearsal itself
+	Failed               []string           `json:"failed"`            // reasons of a failed verdict, by rules and counts
 }
 
 var quantiles = []float64{0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99, 100}
@@ -106,34 +106,34 @@
 			"unanswered": counts.Unanswered,
 			"no_proxy":   counts.NoProxy,
 		},
-		Clients:     counts,
-		OpenAtEnd:   r.openAtEnd,
-		LateBoundMs: toMillis(s.LateBound),
-		Connects:    r.clients.Connects.Summary(),
-		Messages:    r.clients.Messages.Summary(),
-		ConnectBy:   r.clients.Connects.Windows(),
-		MessageBy:   r.clients.Messages.Windows(),
-		Quantiles:   quantiles,
-		ConnectAt:   r.clients.Connects.LatenciesAtQuantiles(quantiles),
-		MessageAt:   r.clients.Messages.LatenciesAtQuantiles(quantiles),
-		BadClients:  r.badClients.report(),
-		Samples:     r.samples,
-		Trouble:     r.troubles,
-		Unbound:     r.unbound,
+		Clients:              counts,
+		OpenAtEnd:            r.openAtEnd,
+		LateBoundMs:          toMillis(s.LateBound),
+		Handshakes:           r.clients.Connects.Summary(),
+		Messages:             r.clients.Messages.Summary(),
+		HandshakeWindows:     r.clients.Connects.Windows(),
+		MessageWindows:       r.clients.Messages.Windows(),
+		Quantiles:            quantiles,
+		HandshakeAtQuantiles: r.clients.Connects.LatenciesAtQuantiles(quantiles),
+		MessageAtQuantiles:   r.clients.Messages.LatenciesAtQuantiles(quantiles),
+		BadClients:           r.badClients.report(),
+		Samples:              r.samples,
+		RunErrors:            r.runErrors,
+		Unbound:              r.unboundReason,
 	}
 	report.Rules, report.RuleCounts = r.judge.Violations()
 	if report.Rules == nil {
 		report.Rules = []judge.Violation{}
 	}
 	report.LateSends, report.Late, report.Lateness = r.clients.Lateness.Result()
-	report.Short.Generator = counts.NoSocket
+	report.DescriptorShortages.Generator = counts.NoSocket
 	for _, each := range r.nodes {
-		report.Short.StandIns += each.Stats().DescriptorShortages
+		report.DescriptorShortages.Nodes += each.Stats().DescriptorShortages
 	}
 	for i, p := range r.processes {
 		use, samplesAtLimit := p.use(fmt.Sprintf("n%d", i))
 		report.Proxies = append(report.Proxies, use)
-		report.Short.Proxies += samplesAtLimit + countDescriptorRefusals(p.logFile())
+		report.DescriptorShortages.Proxies += samplesAtLimit + countDescriptorRefusals(p.logFile())
 	}
 	for _, f := range s.Faults {
 		report.Faults = append(report.Faults, f.String())
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -20,10 +20,10 @@
 
 const (
 	// leeway is what the rules' limits are extended by.
-	leeway       = 50 * time.Millisecond
-	tick         = 100 * time.Millisecond
-	sampleEvery  = 250 * time.Millisecond
-	maxStartTime = 20 * time.Second
+	leeway         = 50 * time.Millisecond
+	tickInterval   = 100 * time.Millisecond
+	sampleInterval = 250 * time.Millisecond
+	maxStartTime   = 20 * time.Second
 )
 
 // rehearsal is one run of a scenario.
@@ -43,11 +43,11 @@
 	openAtEnd     int
 	faultsRunning sync.WaitGroup
 
-	mu         sync.Mutex // guards all below
-	samples    []Sample
-	troubles   []string // of the rehearsal itself
-	addedNodes int      // spare nodes that were started
-	unbound    string   // why proxies that were to be bound to processors are not, "" where they are
+	mu            sync.Mutex // guards all below
+	samples       []Sample
+	runErrors     []string // of the rehearsal itself
+	addedNodes    int      // spare nodes that were started
+	unboundReason string   // why proxies that were to be bound to processors are not, "" where they are
 }
 
 // Options say how a run is done.
@@ -83,7 +83,7 @@
 		}
 		defer release()
 	}
-	r.startIn(2 * maxStartTime)
+	r.setStart(2 * maxStartTime)
 	defer r.close()
 	if err := r.build(o); err != nil {
 		return nil, err
@@ -94,8 +94,8 @@
 	if err := r.waitReady(whileRunning); err != nil {
 		return nil, err
 	}
-	r.startIn(2 * tick)
-	r.play(ctx, sessions, o.Progress)
+	r.setStart(2 * tickInterval)
+	r.runSessions(ctx, sessions, o.Progress)
 	for _, p := range r.processes {
 		p.sample()
 	}
@@ -104,7 +104,7 @@
 		r.stopAllProxies()
 	}
 	if o.Logs != "" {
-		report.Trouble = append(report.Trouble, r.keepLogs(o.Logs)...)
+		report.RunErrors = append(report.RunErrors, r.keepLogs(o.Logs)...)
 	}
 	return report, nil
 }
@@ -114,8 +114,8 @@
 	return time.Duration(time.Now().UnixNano() - r.startedAt.Load())
 }
 
-// startIn sets the run's start.
-func (r *rehearsal) startIn(d time.Duration) { r.startedAt.Store(time.Now().Add(d).UnixNano()) }
+// setStart sets the run's start.
+func (r *rehearsal) setStart(d time.Duration) { r.startedAt.Store(time.Now().Add(d).UnixNano()) }
 
 // waitReady waits until the front has taken all proxies in.
 func (r *rehearsal) waitReady(ctx context.Context) error {
@@ -125,37 +125,37 @@
 				return fmt.Errorf("proxy %d does not serve: %s", i, p.logTail())
 			}
 		}
-		all := r.front.Len()
-		if r.front.ReadyCount() == all {
+		total := r.front.Len()
+		if r.front.ReadyCount() == total {
 			return nil
 		}
 		if time.Now().After(limit) {
-			return fmt.Errorf("%d of %d proxies are ready after %v", r.front.ReadyCount(), all, maxStartTime)
+			return fmt.Errorf("%d of %d proxies are ready after %v", r.front.ReadyCount(), total, maxStartTime)
 		}
 		select {
-		case <-time.After(tick):
+		case <-time.After(tickInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// play sends the sessions and injects the faults, and returns when the run is over and all of it has ended.
-func (r *rehearsal) play(ctx context.Context, sessions []trace.Session, progress io.Writer) {
-	whole, cancelAll := context.WithCancel(ctx)
+// runSessions sends the sessions and injects the faults, and returns when the run is over and all of it has ended.
+func (r *rehearsal) runSessions(ctx context.Context, sessions []trace.Session, progress io.Writer) {
+	running, cancelAll := context.WithCancel(ctx)
 	defer cancelAll()
-	r.startFaults(whole)
+	r.startFaults(running)
 	var monitor sync.WaitGroup
 	monitored, stopMonitor := context.WithCancel(context.Background())
 	monitor.Go(func() { r.monitor(monitored, len(sessions), progress) })
 
-	clientsDone := r.sendSessions(whole, sessions)
+	clientsDone := r.sendSessions(running, sessions)
 	length := r.scenario.Length.D() + r.scenario.Settle.D()
 	select {
 	case <-time.After(max(length-r.now(), 0)):
 	case <-ctx.Done():
 	}
-	r.openAtEnd = r.clients.Open()
+	r.openAtEnd = r.clients.OpenSessions()
 	cancelAll()
 	clientsDone.Wait()
 	r.faultsRunning.Wait()
@@ -182,29 +182,29 @@
 }
 
 // request is what the client of a scheduled session asks for.
-func (s *Scenario) request(t trace.Session) client.Request {
-	l := s.Listeners[s.listenerIndex(t.Listener)]
+func (s *Scenario) request(session trace.Session) client.Request {
+	l := s.Listeners[s.listenerIndex(session.Listener)]
 	timeout := l.DialTimeout.D()
-	if t.DialTimeoutMs > 0 {
-		timeout = fromMillis(t.DialTimeoutMs)
+	if session.DialTimeoutMs > 0 {
+		timeout = fromMillis(session.DialTimeoutMs)
 	}
 	return client.Request{
-		ArrivesAt: t.ArrivesAt(),
-		Listener:  t.Listener,
-		Tenant:    t.Tenant,
-		Zone:      t.Zone,
-		Key:       t.Key,
-		Group:     t.Group,
+		ArrivesAt: session.ArrivesAt(),
+		Listener:  session.Listener,
+		Tenant:    session.Tenant,
+		Zone:      session.Zone,
+		Key:       session.Key,
+		Group:     session.Group,
 		Terms: judge.Terms{
 			DialTimeout:  timeout,
 			Effect:       judge.Effect(l.Effect),
 			RepeatWindow: l.RepeatWindow.D(),
 			Group:        l.Group,
 		},
-		Lifetime:        fromMillis(t.LifetimeMs),
-		Load:            node.Load{Cores: t.Load * s.Platform.meanLoad(), Group: t.Group},
+		Lifetime:        fromMillis(session.LifetimeMs),
+		Load:            node.Load{Cores: session.Load * s.Platform.meanLoad(), Group: session.Group},
 		LoadChangeEvery: s.Clients.LoadChanges.D(),
-		Returned:        t.Returned,
+		Returned:        session.Returned,
 	}
 }
 
@@ -224,9 +224,9 @@
 	}
 }
 
-// addTrouble notes a failure of the rehearsal itself.
-func (r *rehearsal) addTrouble(format string, args ...any) {
+// addRunError notes a failure of the rehearsal itself.
+func (r *rehearsal) addRunError(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.troubles = append(r.troubles, fmt.Sprintf(format, args...))
+	r.runErrors = append(r.runErrors, fmt.Sprintf(format, args...))
 }
--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -228,11 +228,11 @@
 
 // Shorten gives the scenario another length; streams of arrivals that lasted to the end last to the new one.
 func (s *Scenario) Shorten(length time.Duration) error {
-	was := s.Length
+	previousLength := s.Length
 	s.Length = strict.Span(length)
 	for i := range s.Arrivals {
 		a := &s.Arrivals[i]
-		if a.To == was || a.To > s.Length {
+		if a.To == previousLength || a.To > s.Length {
 			a.To = s.Length
 		}
 		if a.From >= a.To {
--- a/internal/rehearse/schedule.go
+++ b/internal/rehearse/schedule.go
@@ -91,9 +91,9 @@
 // sessionsAt draws a session for each time. A listener or a group that is "" is drawn too.
 func (s *Scenario) sessionsAt(times []time.Duration, listener, group string, rng *rand.Rand) []trace.Session {
 	sessions := make([]trace.Session, len(times))
-	for i, at := range times {
+	for i, arrivesAt := range times {
 		next := &sessions[i]
-		next.AtMs, next.Listener, next.Group = float64(at)/float64(time.Millisecond), listener, group
+		next.AtMs, next.Listener, next.Group = float64(arrivesAt)/float64(time.Millisecond), listener, group
 		next.Key = fmt.Sprintf("%016x", rng.Uint64()|1)
 		if next.Listener == "" {
 			next.Listener = s.randomListener(rng)
@@ -121,9 +121,9 @@
 	for _, l := range s.Listeners {
 		total += l.Share
 	}
-	left := rng.Float64() * total
+	remaining := rng.Float64() * total
 	for _, l := range s.Listeners {
-		if left -= l.Share; left < 0 {
+		if remaining -= l.Share; remaining < 0 {
 			return l.Name
 		}
 	}
@@ -131,17 +131,17 @@
 }
 
 // fillDefaults draws what a session leaves open.
-func (s *Scenario) fillDefaults(t *trace.Session, rng *rand.Rand) {
-	l := s.Listeners[s.listenerIndex(t.Listener)]
-	if t.LifetimeMs == 0 {
-		t.LifetimeMs = rng.ExpFloat64() * float64(l.Lifetime) / float64(time.Millisecond)
+func (s *Scenario) fillDefaults(session *trace.Session, rng *rand.Rand) {
+	l := s.Listeners[s.listenerIndex(session.Listener)]
+	if session.LifetimeMs == 0 {
+		session.LifetimeMs = rng.ExpFloat64() * float64(l.Lifetime) / float64(time.Millisecond)
 	}
-	if t.Load == 0 {
+	if session.Load == 0 {
 		spread := s.Clients.LoadSpread // log-normal with a mean of the listener's load
-		t.Load = l.Load * math.Exp(spread*rng.NormFloat64()-spread*spread/2)
+		session.Load = l.Load * math.Exp(spread*rng.NormFloat64()-spread*spread/2)
 	}
-	if t.Zone == "" {
-		t.Zone = s.randomZone(rng)
+	if session.Zone == "" {
+		session.Zone = s.randomZone(rng)
 	}
 }
 
--- a/internal/rehearse/verdict.go
+++ b/internal/rehearse/verdict.go
@@ -43,13 +43,13 @@
 
 // evaluateRehearsal looks for faults of the rehearsal's own, with which its result is worth nothing.
 func (r *Report) evaluateRehearsal() {
-	if r.Short.Generator > 0 {
-		r.fail("the generator ran out of descriptors or ports %d times", r.Short.Generator)
+	if r.DescriptorShortages.Generator > 0 {
+		r.fail("the generator ran out of descriptors or ports %d times", r.DescriptorShortages.Generator)
 	}
-	if r.Short.StandIns > 0 {
-		r.fail("the stand-ins ran out of descriptors %d times", r.Short.StandIns)
+	if r.DescriptorShortages.Nodes > 0 {
+		r.fail("the stand-ins ran out of descriptors %d times", r.DescriptorShortages.Nodes)
 	}
-	for _, text := range r.Trouble {
+	for _, text := range r.RunErrors {
 		r.fail("%s", text)
 	}
 }
--- a/internal/rehearse/wrapper_test.go
+++ b/internal/rehearse/wrapper_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	const wrapperAndProxy = 2
-	for name, wrapperEnds := range map[string]func(wrapper int){
+	for name, endWrapper := range map[string]func(wrapper int){
 		"with the rehearsal": func(int) {},
 		"with the wrapper":   func(wrapper int) { unix.Kill(wrapper, unix.SIGKILL) },
 	} {
@@ -39,16 +39,16 @@
 			}
 			report <- r
 		}()
-		ids := awaitProxies(t, wrapperAndProxy)
+		pids := waitForProxies(t, wrapperAndProxy)
 		time.Sleep(time.Second) // it is ready by then
-		wrapperEnds(min(ids[0], ids[1]))
+		endWrapper(min(pids[0], pids[1]))
 		<-report
-		for limit := time.Now().Add(time.Second); len(proxiesOf(t)) > 0 && time.Now().Before(limit); {
+		for deadline := time.Now().Add(time.Second); len(proxyPIDs(t)) > 0 && time.Now().Before(deadline); {
 			time.Sleep(10 * time.Millisecond)
 		}
-		for _, id := range proxiesOf(t) {
-			t.Errorf("%s: process %d goes on", name, id)
-			unix.Kill(id, unix.SIGKILL)
+		for _, pid := range proxyPIDs(t) {
+			t.Errorf("%s: process %d goes on", name, pid)
+			unix.Kill(pid, unix.SIGKILL)
 		}
 	}
 }
--- a/internal/scale/aggregators.go
+++ b/internal/scale/aggregators.go
@@ -17,7 +17,7 @@
 	"github.com/prometheus/procfs"
 
 	"chalkferry/internal/sharing"
-	"chalkferry/internal/standin/way"
+	"chalkferry/internal/standin/udplink"
 )
 
 const (
@@ -41,12 +41,12 @@
 // fleetOfAggregators are all of them, with a relay from each to each other where faults need one.
 type fleetOfAggregators struct {
 	each  []*aggregator
-	links map[[2]int]*way.Way // from, to
+	links map[[2]int]*udplink.Link // from, to
 }
 
 // prepareAggregators names the aggregators and writes their files.
 func prepareAggregators(p *Plan, program, folder string) (*fleetOfAggregators, error) {
-	a := &fleetOfAggregators{links: map[[2]int]*way.Way{}}
+	a := &fleetOfAggregators{links: map[[2]int]*udplink.Link{}}
 	for i := range p.Regions * aggregatorsPerRegion {
 		listen, err := freeUDPAddress()
 		if err != nil {
@@ -67,7 +67,7 @@
 			if i == j || len(p.Faults) == 0 {
 				continue
 			}
-			link, err := way.Open("127.0.0.1:0", peer.listen, p.Seed+int64(i*len(a.each)+j))
+			link, err := udplink.Open("127.0.0.1:0", peer.listen, p.Seed+int64(i*len(a.each)+j))
 			if err != nil {
 				a.close()
 				return nil, err
@@ -296,8 +296,8 @@
 		if lost > 0 {
 			late = overtakenBy
 		}
-		link.Faulty(lost, lost, late)
-		link.Cut(isCut(from.region, to.region))
+		link.SetFaults(lost, lost, late)
+		link.SetDown(isCut(from.region, to.region))
 	}
 }
 
--- a/internal/standin/client/session.go
+++ b/internal/standin/client/session.go
@@ -17,26 +17,27 @@
 )
 
 const (
-	// answerLeeway is how much longer than its dial timeout a client listens, to see an answer that comes late.
+	// answerLeeway is how much longer than its dial timeout a client listens, so that late answers are seen and reported.
 	answerLeeway = 60 * time.Millisecond
 	// connectRetryDelay is the pause between two attempts to reach a proxy.
 	connectRetryDelay = 20 * time.Millisecond
-	// afterAnswer is how long a client listens after a final answer, for lines that must not come.
-	afterAnswer    = 100 * time.Millisecond
+	// afterAnswerWait is how long a client listens after a refusal or a failure for further lines, which are violations.
+	afterAnswerWait = 100 * time.Millisecond
+	// readBufferSize is that of one connection, in bytes.
 	readBufferSize = 512
 )
 
-// session is what one client wants, over all its connections.
+// session is the session of one client, over all its connections.
 type session struct {
-	clients  *Clients
-	request  Request
-	lifeLeft time.Duration
-	id       judge.SessionID // of its present connection
-	returned bool
-	served   bool
+	clients       *Clients
+	request       Request
+	remainingLife time.Duration
+	id            judge.SessionID // of the current attempt
+	returned      bool            // the client had a session before
+	served        bool            // it was accepted at least once
 }
 
-// outcome is how an attempt, or an established session, ended.
+// outcome is how an attempt or an established session ended.
 type outcome int
 
 const (
@@ -46,7 +47,8 @@
 	interrupted                // the run is over
 )
 
-// attempt requests the session once, by a proxy that the front names. A refusal may say after which time to retry.
+// attempt requests the session once, through a proxy picked by the front, and runs it if it is accepted. intended is the
+// scheduled time of the attempt. retryAfter is the wait that a refusal asks for, 0 if it names none.
 func (s *session) attempt(ctx context.Context, intended time.Duration) (result outcome, retryAfter time.Duration) {
 	c := s.clients
 	c.count(&c.counts.Attempts)
@@ -70,29 +72,29 @@
 	answer, err := lines.ReadString('\n')
 	now := c.now()
 	if err != nil {
-		return s.noAnswer(ctx, now, err), 0
+		return s.recordNoAnswer(ctx, now, err), 0
 	}
 	verb, rest, _ := strings.Cut(strings.TrimRight(answer, "\r\n"), " ")
 	switch verb {
 	case "UP":
-		s.accepted(now, intended, rest)
+		s.recordAccepted(now, intended, rest)
 		return s.runEstablished(ctx, conn, lines, proxy), 0
 	case "BUSY":
 		c.judge.Answered(now, s.id, judge.Refused, "")
 		c.count(&c.counts.Refused)
-		s.expectNothing(conn, lines)
-		ms, _ := strconv.ParseInt(rest, 10, 64) // without one: 0
+		s.checkNoFurtherLine(conn, lines)
+		ms, _ := strconv.ParseInt(rest, 10, 64) // 0 if the refusal names no wait
 		return retry, time.Duration(ms) * time.Millisecond
 	default:
 		c.judge.Answered(now, s.id, judge.Failed, "")
 		c.count(&c.counts.Failed)
-		s.expectNothing(conn, lines)
+		s.checkNoFurtherLine(conn, lines)
 		return retry, 0
 	}
 }
 
-// noAnswer reports an attempt that ended without an answer.
-func (s *session) noAnswer(ctx context.Context, now time.Duration, err error) outcome {
+// recordNoAnswer counts and reports an attempt that ended without an answer.
+func (s *session) recordNoAnswer(ctx context.Context, now time.Duration, err error) outcome {
 	c := s.clients
 	switch {
 	case ctx.Err() != nil:
@@ -109,8 +111,8 @@
 	return retry
 }
 
-// accepted reports an attempt that was accepted.
-func (s *session) accepted(now, intended time.Duration, receipt string) {
+// recordAccepted counts and reports an attempt that was accepted.
+func (s *session) recordAccepted(now, intended time.Duration, receipt string) {
 	c := s.clients
 	c.judge.Answered(now, s.id, judge.Accepted, receipt)
 	c.Connects.Record(intended, now-intended)
@@ -121,33 +123,33 @@
 	}
 }
 
-// assignID gives the session a new id for its next connection.
+// assignID gives the session a new id for its next attempt.
 func (s *session) assignID() {
 	c := s.clients
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nextID++
-	s.id = judge.SessionID(fmt.Sprintf("%016x", (c.idSalt+c.nextID)*0x9e3779b97f4a7c15)) // odd: no two are equal
+	s.id = judge.SessionID(fmt.Sprintf("%016x", (c.idSalt+c.nextID)*0x9e3779b97f4a7c15)) // an odd factor keeps ids distinct
 	c.plans[s.id] = &plan{s.request.Load, s.request.LoadChangeEvery}
 }
 
-// forget tells nodes that the client has gone.
+// forget removes the plan of the current attempt, so that nodes see that its client has gone.
 func (s *session) forget() {
 	s.clients.mu.Lock()
 	defer s.clients.mu.Unlock()
 	delete(s.clients.plans, s.id)
 }
 
-// connect reaches a proxy before the deadline.
+// connect connects to a proxy before the deadline, with retries. ok is false if no proxy could be reached in time.
 func (s *session) connect(ctx context.Context, deadline time.Duration) (net.Conn, judge.ProxyID, bool) {
 	c := s.clients
 	for ctx.Err() == nil {
-		left := deadline - c.now()
-		if left <= 0 {
+		timeLeft := deadline - c.now()
+		if timeLeft <= 0 {
 			break
 		}
 		if id, address, ok := c.front.Pick(s.request.Zone); ok {
-			dialer := net.Dialer{Timeout: left}
+			dialer := net.Dialer{Timeout: timeLeft}
 			conn, err := dialer.DialContext(ctx, "tcp", address)
 			if err == nil {
 				return conn, id, true
@@ -166,17 +168,19 @@
 	return nil, 0, false
 }
 
-// sendRequest sends the first line.
+// sendRequest sends the first line. midFlow says that it resumes an established session. It reports whether the line was
+// written.
 func (s *session) sendRequest(conn net.Conn, proxy judge.ProxyID, midFlow bool) bool {
 	c := s.clients
 	c.judge.Requested(c.now(), s.id, proxy, s.request.Terms)
 	if _, err := io.WriteString(conn, s.firstLine(midFlow)); err != nil {
-		c.judge.ClientLeft(c.now(), s.id) // its last byte was not accepted
+		c.judge.ClientLeft(c.now(), s.id) // the line was not written completely
 		return false
 	}
 	return true
 }
 
+// firstLine returns the line with which the session is requested.
 func (s *session) firstLine(midFlow bool) string {
 	r := s.request
 	text := fmt.Sprintf("OPEN %s %s c=%s", s.id, r.Key, r.Listener)
@@ -196,10 +200,10 @@
 	return text + "\r\n"
 }
 
-// expectNothing reports a line that comes after a refusal or a failure.
-func (s *session) expectNothing(conn net.Conn, lines *bufio.Reader) {
-	conn.SetReadDeadline(time.Now().Add(afterAnswer))
-	if text, _ := lines.ReadString('\n'); text != "" { // its end, or nothing, is as it should be
+// checkNoFurtherLine reports a line that arrives after a refusal or a failure.
+func (s *session) checkNoFurtherLine(conn net.Conn, lines *bufio.Reader) {
+	conn.SetReadDeadline(time.Now().Add(afterAnswerWait))
+	if text, _ := lines.ReadString('\n'); text != "" { // the end of the connection and silence are both correct
 		s.clients.judge.UnexpectedLine(s.clients.now(), s.id, text)
 	}
 	s.clients.judge.ClientLeft(s.clients.now(), s.id)
--- a/internal/standin/client/stream.go
+++ b/internal/standin/client/stream.go
@@ -14,14 +14,14 @@
 	"chalkferry/internal/standin/judge"
 )
 
-// minUnanswered is how long a line must have been out to count as unanswered when its session ends.
+// minUnanswered is how long ago a line must have been sent to count as unanswered when its session ends.
 const minUnanswered = 50 * time.Millisecond
 
-// ending is why the lines of a connection stopped.
+// ending is the reason why a connection of an established session ended.
 type ending int
 
 const (
-	lifeOver     ending = iota // the client's own end
+	lifeOver     ending = iota // the session's lifetime is over
 	disconnected               // the client dropped the connection
 	runOver                    // the rehearsal ended
 	serverClosed               // BYE came last
@@ -29,16 +29,16 @@
 	cutOff                     // the connection ended without either
 )
 
-// outstanding are the lines that nothing has come back for.
-type outstanding struct {
+// unansweredLines holds the times of the lines of a connection that were sent and not echoed yet, oldest first.
+type unansweredLines struct {
 	mu       sync.Mutex
-	intended []time.Duration // when each was to be sent
-	sent     []time.Duration // and when it was
-	closed   bool
+	intended []time.Duration // when each was scheduled
+	sent     []time.Duration // when each was sent
+	closed   bool            // later echoes are ignored
 }
 
-// add notes a line that is about to be sent. It returns for how long the oldest has been out, 0 without one.
-func (o *outstanding) add(intended, now time.Duration) (oldest time.Duration) {
+// push adds a line that is about to be sent. It returns for how long the oldest line has been unanswered, 0 for none.
+func (o *unansweredLines) push(intended, now time.Duration) (oldest time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.sent) > 0 {
@@ -48,8 +48,8 @@
 	return oldest
 }
 
-// answered takes the oldest line off.
-func (o *outstanding) answered() (intended time.Duration, ok bool) {
+// popOldest removes the oldest line and returns its scheduled time. ok is false if there is none.
+func (o *unansweredLines) popOldest() (intended time.Duration, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed || len(o.intended) == 0 {
@@ -61,31 +61,31 @@
 }
 
 // close returns the lines that were never answered.
-func (o *outstanding) close() (intended, sent []time.Duration) {
+func (o *unansweredLines) close() (intended, sent []time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.closed = true
 	return o.intended, o.sent
 }
 
-// runEstablished runs the session while it is open, over all the proxies that carry it.
+// runEstablished runs an accepted session until its end, over all proxies through which it is resumed.
 func (s *session) runEstablished(ctx context.Context, conn net.Conn, lines *bufio.Reader, proxy judge.ProxyID) outcome {
 	c := s.clients
-	began := c.now()
+	establishedAt := c.now()
 	dropped, unregister := s.register()
 	defer func() {
 		unregister()
-		s.lifeLeft -= c.now() - began
+		s.remainingLife -= c.now() - establishedAt
 	}()
 	for {
-		why := s.exchange(ctx, conn, lines, dropped, began)
+		cause := s.exchange(ctx, conn, lines, dropped, establishedAt)
 		now := c.now()
-		switch why {
+		switch cause {
 		case lifeOver, disconnected, runOver: // the client ends it
 			s.forget()
 			c.judge.ClientLeft(now, s.id)
 			conn.Close()
-			return s.clientEnded(why)
+			return s.clientEnded(cause)
 		case serverClosed:
 			c.judge.ClientLeft(now, s.id)
 			c.count(&c.counts.Completed)
@@ -116,9 +116,9 @@
 	}
 }
 
-// clientEnded is the outcome of a session that its client ended.
-func (s *session) clientEnded(why ending) outcome {
-	switch why {
+// clientEnded returns the outcome of a session that its client ended.
+func (s *session) clientEnded(cause ending) outcome {
+	switch cause {
 	case lifeOver:
 		s.clients.count(&s.clients.counts.Completed)
 		return done
@@ -128,7 +128,7 @@
 	return interrupted
 }
 
-// register counts the session as established and lets Drop disconnect it.
+// register counts the session as established and makes it known to DisconnectShare, which closes the dropped channel.
 func (s *session) register() (dropped <-chan struct{}, unregister func()) {
 	c := s.clients
 	signal := make(chan struct{})
@@ -145,45 +145,46 @@
 	}
 }
 
-// exchange sends lines and reads the answers on one connection until either side ends it.
-func (s *session) exchange(ctx context.Context, conn net.Conn, lines *bufio.Reader, dropped <-chan struct{}, began time.Duration) ending {
+// exchange sends lines and reads the answers on one connection until either side ends it. A session is established at
+// establishedAt and lives for remainingLife from then.
+func (s *session) exchange(ctx context.Context, conn net.Conn, lines *bufio.Reader, dropped <-chan struct{}, establishedAt time.Duration) ending {
 	c := s.clients
-	out := &outstanding{}
-	read := make(chan ending, 1)
-	go func() { read <- s.readAnswers(lines, out) }()
+	unanswered := &unansweredLines{}
+	readerDone := make(chan ending, 1)
+	go func() { readerDone <- s.readAnswers(lines, unanswered) }()
 	conn.SetReadDeadline(time.Time{})
-	why := s.sendLines(ctx, conn, out, read, dropped, began)
-	intended, sent := out.close()
+	cause := s.sendLines(ctx, conn, unanswered, readerDone, dropped, establishedAt)
+	intended, sent := unanswered.close()
 	now := c.now()
-	for i := range intended { // what never came back took at least so long, unless it was just sent
+	for i := range intended { // recorded with the time so far as a lower bound
 		if now-sent[i] > minUnanswered {
 			c.Messages.Record(intended[i], now-intended[i])
 			c.count(&c.counts.MessagesUnanswered)
 		}
 	}
-	return why
+	return cause
 }
 
 // sendLines sends a line at intervals until the session ends.
-func (s *session) sendLines(ctx context.Context, conn net.Conn, out *outstanding, read <-chan ending,
-	dropped <-chan struct{}, began time.Duration) ending {
+func (s *session) sendLines(ctx context.Context, conn net.Conn, unanswered *unansweredLines, readerDone <-chan ending,
+	dropped <-chan struct{}, establishedAt time.Duration) ending {
 	c := s.clients
-	every := c.behavior.MessageEvery
-	life := time.NewTimer(s.lifeLeft - (c.now() - began))
+	interval := c.behavior.MessageEvery
+	life := time.NewTimer(s.remainingLife - (c.now() - establishedAt))
 	defer life.Stop()
-	next := c.now() + c.between(0, every)
+	next := c.now() + c.randomDuration(0, interval)
 	due := time.NewTimer(next - c.now())
-	if every <= 0 {
+	if interval <= 0 {
 		due.Stop()
 	}
 	defer due.Stop()
 	for n := 0; ; {
 		select {
-		case why := <-read:
-			if why == cutOff && ctx.Err() != nil { // the run's end has stopped the reader, not the proxy
+		case cause := <-readerDone:
+			if cause == cutOff && ctx.Err() != nil { // the end of the run stopped the reader, not the proxy
 				return runOver
 			}
-			return why
+			return cause
 		case <-life.C:
 			return lifeOver
 		case <-dropped:
@@ -191,27 +192,28 @@
 		case <-ctx.Done():
 			return runOver
 		case <-due.C:
-			s.sendLine(conn, out, n, next)
+			s.sendLine(conn, unanswered, n, next)
 			n++
-			next += every
+			next += interval
 			due.Reset(next - c.now())
 		}
 	}
 }
 
-func (s *session) sendLine(conn net.Conn, out *outstanding, n int, intended time.Duration) {
+// sendLine sends line number n of a connection, which was scheduled for intended.
+func (s *session) sendLine(conn net.Conn, unanswered *unansweredLines, n int, intended time.Duration) {
 	c := s.clients
 	now := c.now()
 	c.Lateness.Record(now - intended)
-	if oldest := out.add(intended, now); oldest > 0 {
+	if oldest := unanswered.push(intended, now); oldest > 0 {
 		c.judge.Unresponsive(now, s.id, oldest)
 	}
 	c.count(&c.counts.Messages)
-	fmt.Fprintf(conn, "M %d %d\r\n", n, now.Microseconds()) // a failure shows at the reader
+	fmt.Fprintf(conn, "M %d %d\r\n", n, now.Microseconds()) // the reader sees any failure
 }
 
-// readAnswers reads until the connection ends, and returns what its last line made of the session.
-func (s *session) readAnswers(lines *bufio.Reader, out *outstanding) ending {
+// readAnswers reads until the connection ends. The last line tells how the session ended.
+func (s *session) readAnswers(lines *bufio.Reader, unanswered *unansweredLines) ending {
 	c := s.clients
 	last := cutOff
 	for {
@@ -223,7 +225,7 @@
 		switch {
 		case strings.HasPrefix(text, "M "):
 			now := c.now()
-			if intended, ok := out.answered(); ok {
+			if intended, ok := unanswered.popOldest(); ok {
 				c.Messages.Record(intended, now-intended)
 			}
 		case text == "BYE\r\n":
@@ -234,28 +236,28 @@
 	}
 }
 
-// resumption is what became of an attempt to resume a session by another proxy.
-type resumption struct {
-	requested bool          // the other proxy's machine took the first line
-	lines     *bufio.Reader // of the connection, where the server that holds the session answered
+// resumeResult is the result of an attempt to resume a session through another proxy.
+type resumeResult struct {
+	requested bool          // the first line was sent to the other proxy
+	lines     *bufio.Reader // of the new connection, nil if the session does not continue
 }
 
-// resume sends a session's packets through another proxy, once the front has noticed that its own is gone. The
-// connection is nil where the session does not continue.
-func (s *session) resume(ctx context.Context) (net.Conn, resumption) {
+// resume continues a session through another proxy, once the front has had time to detect that the previous one has
+// gone. The connection is nil if the session does not continue.
+func (s *session) resume(ctx context.Context) (net.Conn, resumeResult) {
 	c := s.clients
 	select {
 	case <-time.After(c.front.DetectionDelay()):
 	case <-ctx.Done():
-		return nil, resumption{}
+		return nil, resumeResult{}
 	}
 	conn, proxy, ok := s.connect(ctx, c.now()+s.request.Terms.DialTimeout)
 	if !ok {
-		return nil, resumption{}
+		return nil, resumeResult{}
 	}
 	if !s.sendRequest(conn, proxy, true) {
 		conn.Close()
-		return nil, resumption{}
+		return nil, resumeResult{}
 	}
 	lines := bufio.NewReaderSize(conn, readBufferSize)
 	conn.SetReadDeadline(time.Now().Add(s.request.Terms.DialTimeout + answerLeeway))
@@ -265,7 +267,7 @@
 	switch {
 	case err == nil && isUp:
 		c.judge.Answered(now, s.id, judge.Accepted, receipt)
-		return conn, resumption{requested: true, lines: lines}
+		return conn, resumeResult{requested: true, lines: lines}
 	case err == nil && strings.HasPrefix(text, "BUSY"):
 		c.judge.Answered(now, s.id, judge.Refused, "")
 	case err == nil:
@@ -277,5 +279,5 @@
 	}
 	conn.Close()
 	c.judge.ClientLeft(now, s.id)
-	return nil, resumption{requested: true}
+	return nil, resumeResult{requested: true}
 }
--- a/internal/standin/front/front.go
+++ b/internal/standin/front/front.go
@@ -1,6 +1,6 @@
-// Package front simulates the layer that distributes connections among proxies, for rehearsals. It probes each proxy,
-// takes it in once that has answered PING with PONG, and notices only after a delay that one has died. It carries no
-// traffic: clients ask it for an address and connect by themselves.
+// Package front simulates the load balancer in front of the proxies, for rehearsals. It probes each proxy, assigns clients
+// to it once it has answered PING with PONG, and detects only after a delay that a proxy has died. It carries no traffic:
+// clients ask it for an address and connect to that themselves.
 package front
 
 import (
@@ -15,11 +15,11 @@
 	"chalkferry/internal/standin/judge"
 )
 
-// proxyState is what the front believes of a proxy.
+// proxyState is the state of a proxy as the front's probes show it.
 type proxyState int
 
 const (
-	unavailable proxyState = iota // has not answered since it was started
+	unavailable proxyState = iota // gets no connections: not answered yet, or found dead
 	available                     // gets connections
 	suspected                     // does not answer; still gets connections until the detection delay has passed
 )
@@ -28,8 +28,8 @@
 type proxy struct {
 	address, zone string
 	state         proxyState
-	suspectedAt   time.Duration
-	leaving       bool // gets no new connections
+	suspectedAt   time.Duration // since the start of the run
+	leaving       bool          // gets no new connections
 }
 
 const (
@@ -39,21 +39,21 @@
 	probeTimeout = time.Second
 )
 
-// Front names proxies to clients.
+// Front assigns clients to proxies.
 type Front struct {
-	now            func() time.Duration
-	detectionDelay time.Duration
-	mu             sync.Mutex
+	now            func() time.Duration // since the start of the run
+	detectionDelay time.Duration        // from the first failed probe until a proxy gets no more connections
+	mu             sync.Mutex           // guards all below
 	rand           *rand.Rand
 	proxies        []proxy
 }
 
-// New makes a front that notices a death after a delay.
+// New returns a front that detects a dead proxy after detectionDelay. The seed is that of its choice of proxies.
 func New(seed int64, now func() time.Duration, detectionDelay time.Duration) *Front {
 	return &Front{now: now, detectionDelay: detectionDelay, rand: rand.New(rand.NewSource(seed))}
 }
 
-// Add adds a proxy; it must be called before Run, which probes it.
+// Add adds a proxy. It must be called before Run, which starts the probes.
 func (f *Front) Add(address, zone string) judge.ProxyID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,9 +63,9 @@
 
 // Run probes all proxies until the context ends.
 func (f *Front) Run(ctx context.Context) {
-	var all sync.WaitGroup
+	var probers sync.WaitGroup
 	for i := range f.proxies {
-		all.Go(func() {
+		probers.Go(func() {
 			for ctx.Err() == nil {
 				f.recordProbe(i, probe(f.proxies[i].address))
 				select {
@@ -75,10 +75,10 @@
 			}
 		})
 	}
-	all.Wait()
+	probers.Wait()
 }
 
-// probe asks one proxy whether it serves.
+// probe reports whether a proxy answers PING with PONG in time.
 func probe(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, probeTimeout)
 	if err != nil {
@@ -87,11 +87,11 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(probeTimeout))
 	fmt.Fprint(conn, "PING\r\n")
-	answer, _ := bufio.NewReader(conn).ReadString('\n') // a failure is no PONG
+	answer, _ := bufio.NewReader(conn).ReadString('\n') // after an error it differs from PONG
 	return answer == "PONG\r\n"
 }
 
-// recordProbe is the one place where a probe changes a proxy's state.
+// recordProbe updates a proxy's state after a probe. No probe changes it elsewhere.
 func (f *Front) recordProbe(i int, answered bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,27 +106,27 @@
 	}
 }
 
-// SetLeaving stops or resumes new connections to a proxy that is about to leave.
+// SetLeaving stops new connections to a proxy that is about to leave, or allows them again once it answers a probe.
 func (f *Front) SetLeaving(id judge.ProxyID, leaving bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.proxies[id].leaving = leaving
-	if !leaving { // it has to answer anew
+	if !leaving { // it must answer a probe first
 		f.proxies[id].state = unavailable
 	}
 }
 
-// DetectionDelay is how long the front takes to notice a death.
+// DetectionDelay returns how long the front takes to detect a dead proxy.
 func (f *Front) DetectionDelay() time.Duration { return f.detectionDelay }
 
-// Len is how many proxies there are.
+// Len returns the number of proxies.
 func (f *Front) Len() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.proxies)
 }
 
-// ReadyCount is how many proxies get connections.
+// ReadyCount returns the number of proxies that get connections.
 func (f *Front) ReadyCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -139,25 +139,25 @@
 	return n
 }
 
-// Pick names a proxy for a client, one of its zone if there is one.
+// Pick chooses a random proxy for a client, one of its zone if there is any. ok is false if no proxy gets connections.
 func (f *Front) Pick(zone string) (id judge.ProxyID, address string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var near, far []int
+	var sameZone, candidates []int
 	for i, p := range f.proxies {
 		if p.state != unavailable && !p.leaving {
-			far = append(far, i)
+			candidates = append(candidates, i)
 			if p.zone == zone {
-				near = append(near, i)
+				sameZone = append(sameZone, i)
 			}
 		}
 	}
-	if len(near) > 0 {
-		far = near
+	if len(sameZone) > 0 {
+		candidates = sameZone
 	}
-	if len(far) == 0 {
+	if len(candidates) == 0 {
 		return 0, "", false
 	}
-	i := far[f.rand.Intn(len(far))]
+	i := candidates[f.rand.Intn(len(candidates))]
 	return judge.ProxyID(i), f.proxies[i].address, true
 }
--- a/internal/standin/judge/dial.go
+++ b/internal/standin/judge/dial.go
@@ -2,60 +2,60 @@
 
 import "time"
 
-// dial is one connection of a proxy to a node on behalf of a session.
+// dial is one connection from a proxy to a node on behalf of a session. Times are durations since the start of the run.
 type dial struct {
 	node       NodeID
-	arrived    time.Duration
-	mayHaveRun bool
+	arrivedAt  time.Duration
+	mayHaveRun bool // the node may have run the session; false once it has answered BUSY
 	open       bool
-	ended      time.Duration
-	probe      func() bool // whether its connection has ended though the node has not read that yet; may be nil
+	endedAt    time.Duration
+	hasEnded   func() bool // reports an end of the connection that the node has not read yet; may be nil
 }
 
-// unknownDial is that of a session which the judge does not know.
-const unknownDial Dial = -1
+// noDial is the index that is returned for a session unknown to the judge.
+const noDial DialIndex = -1
 
-// DialArrived reports that a session's first line arrived whole at a node, its first byte at firstByte. The returned
-// index identifies the dial in later calls. A resumed session is exempt from drains.
-func (j *Judge) DialArrived(now, firstByte time.Duration, id SessionID, node NodeID, resumed bool) Dial {
+// DialArrived reports that a session's complete first line arrived at a node; firstByte is when its first byte arrived.
+// The returned index identifies the dial in later calls. The drain rule does not apply to resumed sessions.
+func (j *Judge) DialArrived(now, firstByte time.Duration, id SessionID, node NodeID, resumed bool) DialIndex {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	s := j.sessions[id]
 	if s == nil {
-		return unknownDial
+		return noDial
 	}
-	d := &dial{node: node, arrived: now, mayHaveRun: true, open: true}
+	d := &dial{node: node, arrivedAt: now, mayHaveRun: true, open: true}
 	for _, earlier := range s.dials {
 		j.checkOverlap(now, s, earlier, node)
 	}
 	j.checkRepeat(now, s, d)
 	s.dials = append(s.dials, d)
-	published, known := j.drainKnownAt(now, s.proxy, node)
-	if known && !resumed && firstByte > published+j.drainGrace+j.leeway {
+	learnedAt, known := j.drainLearnedAt(now, s.proxy, node)
+	if known && !resumed && firstByte > learnedAt+j.drainGrace+j.leeway {
 		j.report(now, DrainIgnored, id, node, s.proxy, "dialled %v after the proxy was told of the drain, the grace is %v",
-			(firstByte - published).Round(time.Millisecond), j.drainGrace)
+			(firstByte - learnedAt).Round(time.Millisecond), j.drainGrace)
 	}
-	return Dial(len(s.dials) - 1)
+	return DialIndex(len(s.dials) - 1)
 }
 
-// checkOverlap reports an earlier dial that was still open when the next one arrived. It needs the lock.
-func (j *Judge) checkOverlap(now time.Duration, s *session, earlier *dial, next NodeID) {
-	if earlier.open && earlier.probe != nil && earlier.probe() { // guards against readers that a busy machine holds up
-		earlier.open, earlier.ended = false, now
+// checkOverlap reports an earlier dial that was still open when the next one arrived. The caller must hold j.mu.
+func (j *Judge) checkOverlap(now time.Duration, s *session, earlier *dial, nextNode NodeID) {
+	if earlier.open && earlier.hasEnded != nil && earlier.hasEnded() { // on a busy machine the node's reader may lag behind
+		earlier.open, earlier.endedAt = false, now
 	}
 	if !earlier.open {
 		return
 	}
-	j.after(now+j.leeway, func(time.Duration) {
-		if earlier.open || earlier.ended > now+j.leeway {
-			j.report(now, DuplicateEffect, s.id, next, s.proxy, "dialled while its dial to node %d, %v before, was out",
-				earlier.node, (now - earlier.arrived).Round(time.Millisecond))
+	j.schedule(now+j.leeway, func(time.Duration) {
+		if earlier.open || earlier.endedAt > now+j.leeway {
+			j.report(now, DuplicateEffect, s.id, nextNode, s.proxy, "dialled while its dial to node %d, %v before, was out",
+				earlier.node, (now - earlier.arrivedAt).Round(time.Millisecond))
 		}
 	})
 }
 
-// checkRepeat checks a further dial against what the first of the earlier ones that matters may have done. It needs the
-// lock.
+// checkRepeat checks whether a further dial could repeat the effect of an earlier dial that may have run; the first such
+// dial decides. The caller must hold j.mu.
 func (j *Judge) checkRepeat(now time.Duration, s *session, d *dial) {
 	for _, earlier := range s.dials {
 		if !earlier.mayHaveRun {
@@ -73,36 +73,37 @@
 	}
 }
 
-// checkReferenced reports a repeat that the new node does not recognise. It needs the lock.
+// checkReferenced reports a repeat that the new node can't recognise as one: it is outside the group that shares
+// references, or comes after the repeat window. The caller must hold j.mu.
 func (j *Judge) checkReferenced(now time.Duration, s *session, earlier, d *dial) {
-	was, is := j.places[earlier.node], j.places[d.node]
+	earlierPlace, newPlace := j.places[earlier.node], j.places[d.node]
 	group := s.terms.Group
-	if group == "zone" && was.Zone != is.Zone || group == "cell" && was.Cell != is.Cell {
+	if group == "zone" && earlierPlace.Zone != newPlace.Zone || group == "cell" && earlierPlace.Cell != newPlace.Cell {
 		j.report(now, DuplicateEffect, s.id, d.node, s.proxy, "referenced, repeated outside the %s of node %d", group,
 			earlier.node)
 		return
 	}
-	if age := now - earlier.arrived; age > s.terms.RepeatWindow+j.leeway {
+	if age := now - earlier.arrivedAt; age > s.terms.RepeatWindow+j.leeway {
 		j.report(now, DuplicateEffect, s.id, d.node, s.proxy, "referenced, repeated after %v, its window is %v",
 			age.Round(time.Millisecond), s.terms.RepeatWindow)
 	}
 }
 
-// SetDialProbe names what knows whether a dial's connection has ended, as the machine sees it: the node may not have
-// read that yet. It must neither block nor call the judge.
-func (j *Judge) SetDialProbe(id SessionID, n Dial, ended func() bool) {
+// SetDialProbe sets the function that reports whether the kernel has already received the end of a dial's connection,
+// which the node may not have read yet. The function must neither block nor call the judge.
+func (j *Judge) SetDialProbe(id SessionID, index DialIndex, hasEnded func() bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if d := j.dial(id, n); d != nil {
-		d.probe = ended
+	if d := j.dial(id, index); d != nil {
+		d.hasEnded = hasEnded
 	}
 }
 
-// DialRefused reports that the node answered BUSY: the dial has never run.
-func (j *Judge) DialRefused(id SessionID, n Dial) {
+// DialRefused reports that the node answered BUSY, so the session was not run there.
+func (j *Judge) DialRefused(id SessionID, index DialIndex) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if d := j.dial(id, n); d != nil {
+	if d := j.dial(id, index); d != nil {
 		d.mayHaveRun, d.open = false, false
 	}
 }
@@ -116,19 +117,19 @@
 	}
 }
 
-// DialEnded reports that a dial's connection has ended, or that the proxy has shut down its sending side.
-func (j *Judge) DialEnded(now time.Duration, id SessionID, n Dial) {
+// DialEnded reports that a dial's connection has ended, or that the proxy has closed its sending side.
+func (j *Judge) DialEnded(now time.Duration, id SessionID, index DialIndex) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if d := j.dial(id, n); d != nil && d.open {
-		d.open, d.ended = false, now
+	if d := j.dial(id, index); d != nil && d.open {
+		d.open, d.endedAt = false, now
 	}
 }
 
-// dial needs the lock.
-func (j *Judge) dial(id SessionID, n Dial) *dial {
-	if s := j.sessions[id]; s != nil && n >= 0 && int(n) < len(s.dials) {
-		return s.dials[n]
+// dial returns a session's dial by index, or nil if there is none. The caller must hold j.mu.
+func (j *Judge) dial(id SessionID, index DialIndex) *dial {
+	if s := j.sessions[id]; s != nil && index >= 0 && int(index) < len(s.dials) {
+		return s.dials[index]
 	}
 	return nil
 }
--- a/internal/standin/judge/judge_test.go
+++ b/internal/standin/judge/judge_test.go
@@ -13,11 +13,11 @@
 	leeway = 50 * ms
 )
 
-func fresh() *Judge {
+func newTestJudge() *Judge {
 	return New(leeway, time.Second, 4*time.Second, false, []Place{{"a", "1"}, {"a", "2"}, {"b", "3"}})
 }
 
-// Each rule broken on purpose is found, with the session, and the same without the fault is not.
+// Each violation is reported with its session, and the same sequence of events without the fault is not reported.
 func TestBroken(t *testing.T) {
 	repeatable := Terms{DialTimeout: time.Second, Effect: Repeatable}
 	once := Terms{DialTimeout: time.Second, Effect: OnceOnly}
@@ -29,7 +29,7 @@
 	}{
 		{"late answer", SessionLost, func(j *Judge, broken bool) {
 			j.Requested(0, "s", 0, repeatable)
-			j.Answered(pick(broken, 1060*ms, 1040*ms), "s", Refused, "")
+			j.Answered(choose(broken, 1060*ms, 1040*ms), "s", Refused, "")
 		}},
 		{"no answer", SessionLost, func(j *Judge, broken bool) {
 			j.Requested(0, "s", 0, repeatable)
@@ -41,7 +41,7 @@
 		{"broken before the answer", SessionLost, func(j *Judge, broken bool) {
 			j.Requested(0, "s", 0, repeatable)
 			j.ConnectionLost(100*ms, "s")
-			if !broken { // reported after the break, as the two are seen by two readers
+			if !broken { // reported after the loss, as two goroutines observe the two events
 				j.ProxyDied(0)
 			}
 		}},
@@ -52,38 +52,38 @@
 				j.Answered(20*ms, "s", Failed, "")
 			}
 		}},
-		{"made-up receipt", SessionLost, func(j *Judge, broken bool) {
+		{"receipt that no node issued", SessionLost, func(j *Judge, broken bool) {
 			j.Requested(0, "s", 0, repeatable)
 			j.DialArrived(5*ms, 5*ms, "s", 0, false)
 			j.ReceiptIssued("s", "r1")
-			j.Answered(10*ms, "s", Accepted, pick(broken, "r2", "r1"))
+			j.Answered(10*ms, "s", Accepted, choose(broken, "r2", "r1"))
 		}},
 		{"cut off", SessionLost, func(j *Judge, broken bool) {
-			open(j, "s")
+			openSession(j, "s")
 			j.ConnectionLost(100*ms, "s")
 			if !broken {
 				j.ServerEnded(120*ms, "s", true)
 			}
 		}},
 		{"end not passed on", SessionLost, func(j *Judge, broken bool) {
-			open(j, "s")
+			openSession(j, "s")
 			j.ServerEnded(100*ms, "s", true)
 			if !broken {
 				j.ClientLeft(900*ms, "s")
 			}
 		}},
 		{"end not passed on as the proxy leaves", SessionLost, func(j *Judge, broken bool) {
-			open(j, "s")
+			openSession(j, "s")
 			j.ServerEnded(100*ms, "s", true)
-			if !broken { // what the client was told counts, though it takes it for its proxy's end and comes by another
+			if !broken { // the client saw its connection end with its proxy, and resumes the session through another
 				j.ClientRerouted("s")
 			}
 		}},
-		{"two dials out", DuplicateEffect, func(j *Judge, broken bool) {
+		{"two open dials", DuplicateEffect, func(j *Judge, broken bool) {
 			j.Requested(0, "s", 0, repeatable)
 			d := j.DialArrived(5*ms, 5*ms, "s", 0, false)
 			j.DialArrived(50*ms, 50*ms, "s", 1, false)
-			j.DialEnded(pick(broken, 120*ms, 60*ms), "s", d) // seen a little late is no fault
+			j.DialEnded(choose(broken, 120*ms, 60*ms), "s", d) // an end that is reported within the leeway is no violation
 		}},
 		{"once-only dialled again", DuplicateEffect, func(j *Judge, broken bool) {
 			j.Requested(0, "s", 0, once)
@@ -98,29 +98,29 @@
 			j.Requested(0, "s", 0, once)
 			d := j.DialArrived(5*ms, 5*ms, "s", 0, false)
 			j.DialEnded(10*ms, "s", d)
-			j.Answered(20*ms, "s", pick(broken, Refused, Failed), "")
+			j.Answered(20*ms, "s", choose(broken, Refused, Failed), "")
 		}},
 		{"referenced elsewhere", DuplicateEffect, func(j *Judge, broken bool) {
 			j.Requested(0, "s", 0, zone)
 			d := j.DialArrived(5*ms, 5*ms, "s", 0, false)
 			j.DialEnded(10*ms, "s", d)
-			j.DialArrived(50*ms, 50*ms, "s", pick(broken, NodeID(2), 1), false)
+			j.DialArrived(50*ms, 50*ms, "s", choose(broken, NodeID(2), 1), false)
 		}},
 		{"referenced too late", DuplicateEffect, func(j *Judge, broken bool) {
 			j.Requested(0, "s", 0, zone)
 			d := j.DialArrived(5*ms, 5*ms, "s", 0, false)
 			j.DialEnded(10*ms, "s", d)
-			at := pick(broken, 400*ms, 200*ms)
+			at := choose(broken, 400*ms, 200*ms)
 			j.DialArrived(at, at, "s", 1, false)
 		}},
 		{"dial after a drain", DrainIgnored, func(j *Judge, broken bool) {
 			j.NodeChanged(0, 1, true)
 			j.NodePublished(500*ms, 0, 1, true)
 			j.Requested(1400*ms, "s", 0, repeatable)
-			at := pick(broken, 1600*ms, 1540*ms)
+			at := choose(broken, 1600*ms, 1540*ms)
 			j.DialArrived(at, at, "s", 1, false)
 		}},
-		{"dial by one that does not ask", DrainIgnored, func(j *Judge, broken bool) {
+		{"dial by a proxy that does not poll", DrainIgnored, func(j *Judge, broken bool) {
 			j.SetWatching(0, 0, !broken)
 			j.NodeChanged(100*ms, 1, true)
 			j.Requested(5100*ms, "s", 0, repeatable)
@@ -133,46 +133,47 @@
 		}},
 	} {
 		for _, broken := range []bool{true, false} {
-			j := fresh()
+			j := newTestJudge()
 			c.run(j, broken)
 			j.Check(time.Hour)
-			found, counted := j.Violations()
+			violations, counts := j.Violations()
 			switch {
-			case !broken && len(found) > 0:
-				t.Errorf("%s, kept: %v", c.name, found)
-			case broken && (len(found) != 1 || found[0].Rule != c.rule || counted[c.rule] != 1):
-				t.Errorf("%s, broken: %v", c.name, found)
-			case broken && c.rule != ColdNodeOverloaded && !strings.Contains(found[0].String(), "session s"):
-				t.Errorf("%s: %s names no session", c.name, found[0])
+			case !broken && len(violations) > 0:
+				t.Errorf("%s, rule kept: violations %v, want none", c.name, violations)
+			case broken && (len(violations) != 1 || violations[0].Rule != c.rule || counts[c.rule] != 1):
+				t.Errorf("%s, rule broken: violations %v, want one of %q", c.name, violations, c.rule)
+			case broken && c.rule != ColdNodeOverloaded && !strings.Contains(violations[0].String(), "session s"):
+				t.Errorf("%s: violation does not name its session: %s", c.name, violations[0])
 			}
 		}
 	}
 }
 
-func pick[T any](first bool, a, b T) T {
+func choose[T any](first bool, a, b T) T {
 	if first {
 		return a
 	}
 	return b
 }
 
-func open(j *Judge, id SessionID) {
+func openSession(j *Judge, id SessionID) {
 	j.Requested(0, id, 0, Terms{DialTimeout: time.Second, Effect: Repeatable})
 	j.DialArrived(5*ms, 5*ms, id, 0, false)
 	j.ReceiptIssued(id, "r")
 	j.Answered(10*ms, id, Accepted, "r")
 }
 
-// Random orderly runs, with the two ends of each session reported in either order, break nothing and leave nothing behind.
+// Random runs that keep all rules, with ends of dials reported early or late, give no violation, and the judge keeps no
+// session or pending check afterwards.
 func TestOrderly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		j := fresh()
+		j := newTestJudge()
 		now := time.Duration(0)
 		for n := range rapid.IntRange(1, 20).Draw(t, "sessions") {
 			id := SessionID(rune('a' + n))
-			kind := Terms{DialTimeout: time.Second, Effect: rapid.SampledFrom([]Effect{Repeatable, OnceOnly, Referenced}).Draw(t, "effect"),
+			terms := Terms{DialTimeout: time.Second, Effect: rapid.SampledFrom([]Effect{Repeatable, OnceOnly, Referenced}).Draw(t, "effect"),
 				Group: "all", RepeatWindow: time.Minute}
-			j.Requested(now, id, 0, kind)
+			j.Requested(now, id, 0, terms)
 			for range rapid.IntRange(0, 3).Draw(t, "dials") {
 				now += time.Duration(rapid.IntRange(0, 100).Draw(t, "pause")) * ms
 				d := j.DialArrived(now, now, id, NodeID(rapid.IntRange(0, 2).Draw(t, "node")), false)
@@ -190,8 +191,8 @@
 			}
 		}
 		j.Check(now + time.Hour)
-		if found, _ := j.Violations(); len(found) > 0 || len(j.sessions) > 0 || len(j.pending) > 0 {
-			t.Fatal(found, len(j.sessions), len(j.pending))
+		if violations, _ := j.Violations(); len(violations) > 0 || len(j.sessions) > 0 || len(j.pending) > 0 {
+			t.Fatalf("violations %v, %d sessions and %d pending checks left, want none", violations, len(j.sessions), len(j.pending))
 		}
 	})
 }
--- a/internal/standin/judge/proxy.go
+++ b/internal/standin/judge/proxy.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// proxy is what the judge knows of one proxy.
+// proxy is the state of one proxy.
 type proxy struct {
-	dead, leaving bool
-	watching      bool
-	polled        time.Duration // when it last asked discovery, or its watch began or ended
+	dead, leaving bool          // it was killed or crashed; it was sent SIGTERM
+	watching      bool          // it holds a watch on discovery
+	lastPollAt    time.Duration // when it last polled discovery, or its watch began or ended
 }
 
-// nodeState is a node's availability, and which proxies know of it.
+// nodeState is a node's availability, and when each proxy was sent it.
 type nodeState struct {
 	unavailable bool // draining or gone
-	changed     time.Duration
-	published   map[ProxyID]time.Duration
+	changedAt   time.Duration
+	publishedAt map[ProxyID]time.Duration
 }
 
-// NodeChanged reports that a node has begun to drain or is gone (unavailable), or is ready again.
+// NodeChanged reports that a node has become unavailable, as it drains or is gone, or that it is ready again.
 func (j *Judge) NodeChanged(now time.Duration, node NodeID, unavailable bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if n := j.nodes[node]; n == nil || n.unavailable != unavailable {
-		j.nodes[node] = &nodeState{unavailable: unavailable, changed: now, published: map[ProxyID]time.Duration{}}
+		j.nodes[node] = &nodeState{unavailable: unavailable, changedAt: now, publishedAt: map[ProxyID]time.Duration{}}
 	}
 }
 
-// NodePublished reports that discovery has written the node's state to a proxy.
+// NodePublished reports that discovery has sent the node's state to a proxy. Only the first report for a state counts.
 func (j *Judge) NodePublished(now time.Duration, proxy ProxyID, node NodeID, unavailable bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -33,54 +33,56 @@
 	if n == nil || n.unavailable != unavailable {
 		return
 	}
-	if _, known := n.published[proxy]; !known {
-		n.published[proxy] = now
+	if _, known := n.publishedAt[proxy]; !known {
+		n.publishedAt[proxy] = now
 	}
 }
 
-// SetWatching reports that a proxy has asked discovery, or that its watch has begun or ended.
+// SetWatching reports that a proxy has polled discovery, or that its watch has begun or ended.
 func (j *Judge) SetWatching(now time.Duration, id ProxyID, watching bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	p := j.proxyOf(id)
-	p.watching, p.polled = watching, now
+	p := j.proxyState(id)
+	p.watching, p.lastPollAt = watching, now
 }
 
-// drainKnownAt is when a proxy learnt that a node takes no new sessions, or should have. It needs the lock.
-func (j *Judge) drainKnownAt(now time.Duration, proxy ProxyID, node NodeID) (at time.Duration, known bool) {
+// drainLearnedAt returns when a proxy learnt, or should have learnt, that a node takes no new sessions. The caller must
+// hold j.mu.
+func (j *Judge) drainLearnedAt(now time.Duration, proxy ProxyID, node NodeID) (learnedAt time.Duration, known bool) {
 	n := j.nodes[node]
 	if n == nil || !n.unavailable {
 		return 0, false
 	}
-	if at, known := n.published[proxy]; known {
+	if at, known := n.publishedAt[proxy]; known {
 		return at, true
 	}
-	p := j.proxyOf(proxy)
-	if p.watching || j.pollInterval <= 0 {
+	p := j.proxyState(proxy)
+	if p.watching || j.maxPollInterval <= 0 {
 		return 0, false
 	}
-	if due := max(n.changed, p.polled) + j.pollInterval; due < now {
+	if due := max(n.changedAt, p.lastPollAt) + j.maxPollInterval; due < now {
 		return due, true
 	}
 	return 0, false
 }
 
-// ProxyDied reports that a proxy is about to be killed or was found dead: its sessions are for the clients to retry.
+// ProxyDied reports that a proxy is about to be killed or was found dead. Its sessions no longer count as lost: clients
+// retry them.
 func (j *Judge) ProxyDied(id ProxyID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.proxyOf(id).dead = true
+	j.proxyState(id).dead = true
 }
 
 // ProxyLeaving reports that a proxy is about to get SIGTERM.
 func (j *Judge) ProxyLeaving(id ProxyID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.proxyOf(id).leaving = true
+	j.proxyState(id).leaving = true
 }
 
-// ProxyStarted reports that a proxy is started again. It knows nothing of what was published to its predecessor, and
-// does not answer for its predecessor's sessions.
+// ProxyStarted reports that a proxy is started again. What was published to the previous process is forgotten, and the
+// sessions of that process are attributed to noProxy, which counts as dead.
 func (j *Judge) ProxyStarted(now time.Duration, id ProxyID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -90,14 +92,14 @@
 		}
 	}
 	j.proxies[noProxy] = &proxy{dead: true}
-	j.proxies[id] = &proxy{polled: now}
+	j.proxies[id] = &proxy{lastPollAt: now}
 	for _, n := range j.nodes {
-		delete(n.published, id)
+		delete(n.publishedAt, id)
 	}
 }
 
-// proxyOf needs the lock.
-func (j *Judge) proxyOf(id ProxyID) *proxy {
+// proxyState returns the state of a proxy and creates it on first use. The caller must hold j.mu.
+func (j *Judge) proxyState(id ProxyID) *proxy {
 	p := j.proxies[id]
 	if p == nil {
 		p = &proxy{}
--- a/internal/standin/judge/violation.go
+++ b/internal/standin/judge/violation.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Rule is one of the four.
+// Rule is one of the four rules that a proxy must keep.
 type Rule string
 
-// The rules, by the names that reports have for them.
+// The rules. Their values are the names used in reports.
 const (
 	SessionLost        Rule = "session lost"
 	DuplicateEffect    Rule = "effect twice"
@@ -13,17 +13,17 @@
 	ColdNodeOverloaded Rule = "cold server pushed over"
 )
 
-// maxViolations bounds the list of violations; all are counted.
+// maxViolations bounds how many violations are kept in detail; all are counted.
 const maxViolations = 200
 
 // Violation is one broken rule.
 type Violation struct {
 	Rule    Rule      `json:"rule"`
 	Session SessionID `json:"session,omitempty"`
-	Node    NodeID    `json:"node"`  // -1 where none is concerned
-	Proxy   ProxyID   `json:"proxy"` // -1 where none is concerned
-	AtMs    float64   `json:"at_ms"` // since the run's start
-	Text    string    `json:"text"`
+	Node    NodeID    `json:"node"`  // -1 if no particular node is concerned
+	Proxy   ProxyID   `json:"proxy"` // -1 if no particular proxy is concerned
+	AtMs    float64   `json:"at_ms"` // milliseconds since the start of the run
+	Text    string    `json:"text"`  // what happened
 }
 
 func (v Violation) String() string {
--- a/internal/standin/list/list.go
+++ b/internal/standin/list/list.go
@@ -1,5 +1,5 @@
-// Package list simulates discovery for rehearsals. Each proxy has an endpoint of its own, so that the judge learns which
-// proxy was sent which state, and when. It does not watch nodes: the rehearsal updates the list.
+// Package list simulates the discovery service for rehearsals. Each proxy has an endpoint of its own, so that the judge
+// learns which proxy was sent which state, and when. The package does not watch nodes: the rehearsal updates the list.
 package list
 
 import (
@@ -14,59 +14,59 @@
 	"chalkferry/internal/standin/judge"
 )
 
-// Phases of a member.
+// Phases of a member, as on the wire.
 const (
 	Ready    = "ready"
 	Draining = "draining"
 	Gone     = "gone"
 )
 
-// Member is one entry, in discovery's form.
+// Member is one node in the list, in the wire format of discovery.
 type Member struct {
 	ID        string  `json:"id"`
 	HostPort  string  `json:"host_port"`
-	Locality  string  `json:"locality"`
-	Flavor    string  `json:"flavor"`
+	Locality  string  `json:"locality"` // zone
+	Flavor    string  `json:"flavor"`   // kind of machine
 	Cell      int     `json:"cell"`
-	Phase     string  `json:"phase"` // ready, draining or gone
-	Size      float64 `json:"size"`
-	UpSinceMs int64   `json:"up_since_ms"` // Unix time, 0 for long ago
-	revision  uint64
+	Phase     string  `json:"phase"`       // Ready, Draining or Gone
+	Size      float64 `json:"size"`        // cores
+	UpSinceMs int64   `json:"up_since_ms"` // Unix time in milliseconds, 0 for long ago
+	revision  uint64  // of its last change
 }
 
-// answer is one list, whole or of the changes since a revision.
+// answer is a complete list, or the changes since a revision.
 type answer struct {
 	Revision uint64   `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
-	stale    bool
+	stale    bool     // made by SetStale: proxies must ignore it
 }
 
 const (
-	// heartbeat is how often a watch with no changes sends an empty line.
+	// heartbeat is the interval of the empty lines that a watch sends while nothing changes.
 	heartbeat         = 2 * time.Second
 	readHeaderTimeout = 5 * time.Second
 	targetsPath       = "/api/targets"
 )
 
-// List is the service: what it knows, and how it behaves.
+// List is the simulated discovery service: its members, and the faults that are injected into it.
 type List struct {
 	now       func() time.Duration
 	judge     *judge.Judge
 	mu        sync.Mutex
-	delay     time.Duration // until a change shows
-	down      bool          // calls end with 503, watches end
-	reset     bool          // calls are reset
-	stale     bool          // whole lists of a lower revision are sent
-	names     []string      // by node
+	delay     time.Duration // from an update until proxies can see it
+	down      bool          // calls are answered with 503, and watches end
+	reset     bool          // calls and watches are reset
+	stale     bool          // complete lists of a lower revision are sent
+	names     []string      // ids by node
 	members   []Member      // by node
-	revision  uint64
-	changed   chan struct{} // closed at each change, and when the behaviour changes
+	revision  uint64        // of the last change
+	changed   chan struct{} // closed and replaced at each change of the list or of the faults
 	endpoints []*Endpoint
-	calls     int
+	calls     int // received so far
 }
 
-// New makes a service that knows the members, all as of revision 1.
+// New returns a service with the given members, one per node, all of revision 1. Updates become visible after the delay.
 func New(now func() time.Duration, j *judge.Judge, delay time.Duration, members []Member) *List {
 	l := &List{now: now, judge: j, delay: delay, revision: 1, changed: make(chan struct{})}
 	for _, m := range members {
@@ -76,16 +76,16 @@
 	return l
 }
 
-// Snapshot is the list as a proxy's configuration has it.
+// Snapshot returns the complete list as JSON, for a proxy's configuration.
 func (l *List) Snapshot() json.RawMessage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	text, _ := json.Marshal(l.answer(0)) // plain values: it can't fail
+	text, _ := json.Marshal(l.listSince(0)) // plain values: it can't fail
 	return text
 }
 
-// answer is the list to a proxy that knows a revision, 0 for none. It needs the lock.
-func (l *List) answer(after uint64) answer {
+// listSince returns the changes after a revision, or the complete list if that is 0 or unknown. The caller must hold l.mu.
+func (l *List) listSince(after uint64) answer {
 	a := answer{Revision: l.revision, Complete: after == 0 || after > l.revision, Members: []Member{}}
 	for _, m := range l.members {
 		if m.Phase == Gone && a.Complete {
@@ -98,13 +98,13 @@
 	return a
 }
 
-// notifyWatches needs the lock.
+// notifyWatches wakes all watches. The caller must hold l.mu.
 func (l *List) notifyWatches() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Update changes a member's phase, and its address and start where they are given, after the service's delay.
+// Update changes a member's phase after the service's delay, and also its address and start time unless they are zero.
 func (l *List) Update(id judge.NodeID, phase, hostPort string, upSince time.Time) {
 	l.mu.Lock()
 	delay := l.delay
@@ -126,44 +126,44 @@
 	})
 }
 
-// SetDelay sets how late changes show from now on.
-func (l *List) SetDelay(delay time.Duration) { l.set(func() { l.delay = delay }) }
+// SetDelay sets the delay of later updates.
+func (l *List) SetDelay(delay time.Duration) { l.setBehavior(func() { l.delay = delay }) }
 
-// SetDown makes calls end with 503 and watches end, until it is called with false.
-func (l *List) SetDown(down bool) { l.set(func() { l.down = down }) }
+// SetDown makes the service answer calls with 503 and end watches, until it is called with false.
+func (l *List) SetDown(down bool) { l.setBehavior(func() { l.down = down }) }
 
-// SetReset makes calls and watches be reset, until it is called with false.
-func (l *List) SetReset(reset bool) { l.set(func() { l.reset = reset }) }
+// SetReset makes the service reset the connections of calls and watches, until it is called with false.
+func (l *List) SetReset(reset bool) { l.setBehavior(func() { l.reset = reset }) }
 
-// SetStale makes it send whole lists of a lower revision, until it is called with false.
-func (l *List) SetStale(stale bool) { l.set(func() { l.stale = stale }) }
+// SetStale makes watches send complete lists of a lower revision, until it is called with false.
+func (l *List) SetStale(stale bool) { l.setBehavior(func() { l.stale = stale }) }
 
-func (l *List) set(change func()) {
+func (l *List) setBehavior(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
 	l.notifyWatches()
 }
 
-// Calls is how many calls were received.
+// Calls returns the number of calls received.
 func (l *List) Calls() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.calls
 }
 
-// Endpoint is the address at which one proxy asks.
+// Endpoint is the HTTP server through which one proxy reaches the service.
 type Endpoint struct {
-	Address  string
+	Address  string // host:port
 	list     *List
 	proxy    judge.ProxyID
 	listener net.Listener
 	server   *http.Server
-	closed   chan struct{}
-	once     sync.Once
+	closed   chan struct{} // ends the watches
+	once     sync.Once     // closes it
 }
 
-// OpenEndpoint opens an endpoint for a proxy; a port of 0 is any.
+// OpenEndpoint opens an endpoint for a proxy at an address; port 0 means any free port.
 func (l *List) OpenEndpoint(proxy judge.ProxyID, address string) (*Endpoint, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -178,7 +178,7 @@
 	return e, nil
 }
 
-// Close accepts no new call and ends the open ones after a wait.
+// Close stops accepting calls at once, and ends the open ones after a wait. It does not block.
 func (e *Endpoint) Close(wait time.Duration) {
 	e.once.Do(func() {
 		e.listener.Close()
@@ -215,10 +215,10 @@
 		http.NotFound(w, r)
 		return
 	}
-	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // without: the whole list
+	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // 0 if missing: the complete list
 	if r.URL.Query().Get("watch") != "1" {
 		l.mu.Lock()
-		a := l.answer(0)
+		a := l.listSince(0)
 		l.mu.Unlock()
 		e.write(w, a)
 		return
@@ -228,15 +228,16 @@
 	e.watch(w, r, after)
 }
 
+// watch sends the list after a revision, and then each change, until the call ends.
 func (e *Endpoint) watch(w http.ResponseWriter, r *http.Request, after uint64) {
 	l := e.list
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
-	for isFirst := true; ; isFirst = false {
+	heartbeats := time.NewTicker(heartbeat)
+	defer heartbeats.Stop()
+	for first := true; ; first = false {
 		l.mu.Lock()
-		a, changed, down, reset, stale := l.answer(after), l.changed, l.down, l.reset, l.stale
+		a, changed, down, reset, stale := l.listSince(after), l.changed, l.down, l.reset, l.stale
 		if stale {
-			a = l.answer(0)
+			a = l.listSince(0)
 			a.Revision, a.stale = max(after, 2)-1, true
 		}
 		l.mu.Unlock()
@@ -246,18 +247,18 @@
 		if down {
 			return
 		}
-		if isFirst || len(a.Members) > 0 {
+		if first || len(a.Members) > 0 {
 			if !e.write(w, a) {
 				return
 			}
 			after = a.Revision
 		}
-		if stale { // one list a call; the next call gets it again
+		if stale { // the watch ends after one stale list; the next one gets it again
 			return
 		}
 		select {
 		case <-changed:
-		case <-beat.C:
+		case <-heartbeats.C:
 			if _, err := fmt.Fprintln(w); err != nil {
 				return
 			}
@@ -270,21 +271,21 @@
 	}
 }
 
-// write sends one list, and then reports to the judge what was sent.
+// write sends one list, and then reports to the judge what was sent. It returns false if the list could not be sent.
 func (e *Endpoint) write(w http.ResponseWriter, a answer) bool {
 	text, _ := json.Marshal(a) // plain values: it can't fail
 	if _, err := w.Write(append(text, '\n')); err != nil {
 		return false
 	}
 	w.(http.Flusher).Flush()
-	if a.stale { // a list of a lower revision is to be ignored
+	if a.stale { // proxies must ignore a list of a lower revision
 		return true
 	}
 	e.reportPublished(a)
 	return true
 }
 
-// reportPublished reports to the judge which nodes the proxy now knows to be unavailable.
+// reportPublished reports to the judge which nodes are unavailable according to a list that was sent to the proxy.
 func (e *Endpoint) reportPublished(a answer) {
 	phases := map[string]string{}
 	for _, m := range a.Members {
--- a/internal/standin/list/list_test.go
+++ b/internal/standin/list/list_test.go
@@ -10,8 +10,8 @@
 	"chalkferry/internal/standin/judge"
 )
 
-// Two proxies watch; a drain that is written to one only counts as published to that one, and what discovery does when it
-// is late, down, cut and stale is seen by those who ask.
+// A drain that is sent to only one of two proxies counts as published to that one alone. The faults stale, down, reset and
+// a closed endpoint are visible to a proxy that calls.
 func TestToldAndFaults(t *testing.T) {
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
@@ -21,15 +21,15 @@
 	t.Cleanup(l.Close)
 	var endpoints [2]*Endpoint
 	for i := range endpoints {
-		d, err := l.OpenEndpoint(judge.ProxyID(i), "127.0.0.1:0")
+		endpoint, err := l.OpenEndpoint(judge.ProxyID(i), "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		endpoints[i] = d
+		endpoints[i] = endpoint
 	}
-	watch := func(d *Endpoint, after string) (*http.Response, *bufio.Scanner) {
+	watch := func(endpoint *Endpoint, after string) (*http.Response, *bufio.Scanner) {
 		t.Helper()
-		r, err := http.Get("http://" + d.Address + "/api/targets?watch=1&after=" + after)
+		r, err := http.Get("http://" + endpoint.Address + "/api/targets?watch=1&after=" + after)
 		if err != nil {
 			return nil, nil
 		}
@@ -51,40 +51,40 @@
 	}
 	_, lines := watch(endpoints[0], "0")
 	if a := next(lines); !a.Complete || len(a.Members) != 2 || a.Revision != 1 {
-		t.Fatalf("%+v", a)
+		t.Fatalf("answer %+v", a)
 	}
 	l.Update(0, "draining", "", time.Time{})
 	if a := next(lines); a.Complete || len(a.Members) != 1 || a.Members[0].Phase != "draining" || a.Revision != 2 {
-		t.Fatalf("%+v", a)
+		t.Fatalf("answer %+v", a)
 	}
 	time.Sleep(5 * grace)
-	for proxy := range endpoints { // both dial the node that drains; it was published to the first
+	for proxy := range endpoints { // both dial the draining node; the drain was published only to the first
 		id := judge.SessionID(rune('x' + proxy))
 		j.Requested(now(), id, judge.ProxyID(proxy), judge.Terms{DialTimeout: time.Second, Effect: judge.Repeatable})
 		j.DialArrived(now(), now(), id, 0, false)
 	}
-	if found, _ := j.Violations(); len(found) != 1 || found[0].Proxy != 0 || found[0].Rule != judge.DrainIgnored {
-		t.Fatalf("%v", found)
+	if violations, _ := j.Violations(); len(violations) != 1 || violations[0].Proxy != 0 || violations[0].Rule != judge.DrainIgnored {
+		t.Fatalf("violations %v, want one of %q by proxy 0", violations, judge.DrainIgnored)
 	}
 
 	l.SetStale(true)
 	_, lines = watch(endpoints[1], "2")
 	if a := next(lines); a.Revision >= 2 || !a.Complete {
-		t.Errorf("stale: %+v", a)
+		t.Errorf("stale list: %+v, want a complete one of a revision below 2", a)
 	}
 	l.SetStale(false)
 	l.SetDown(true)
 	if r, _ := watch(endpoints[1], "2"); r == nil || r.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("down: %v", r)
+		t.Errorf("service down: %v, want status 503", r)
 	}
 	l.SetDown(false)
 	l.SetReset(true)
 	if r, _ := watch(endpoints[1], "2"); r != nil {
-		t.Errorf("cut: %v", r.Status)
+		t.Errorf("connections reset: status %v, want an error", r.Status)
 	}
 	l.SetReset(false)
 	endpoints[1].Close(0)
 	if r, _ := watch(endpoints[1], "2"); r != nil {
-		t.Errorf("closed: %v", r.Status)
+		t.Errorf("endpoint closed: status %v, want an error", r.Status)
 	}
 }
--- a/internal/standin/list/slopes_test.go
+++ b/internal/standin/list/slopes_test.go
@@ -9,10 +9,11 @@
 	"chalkferry/internal/standin/judge"
 )
 
-// Benchmarks behind docs/CAPACITY.md: what one change costs a discovery for each proxy that watches. It is the stand-in
-// that is measured, as the operators' own discovery is not ours. `chalkferry capacity fit` reads their output.
+// Benchmarks for docs/CAPACITY.md: the cost of one change to the discovery service for each proxy that watches. They
+// measure this simulated service, as the operators' discovery is not part of this repository. `chalkferry capacity fit`
+// reads their output.
 
-func slopeList(servers int) *List {
+func benchmarkList(servers int) *List {
 	members := make([]Member, servers)
 	for i := range members {
 		members[i] = Member{ID: fmt.Sprintf("push-%05d.zone-%d", i, i%10), HostPort: fmt.Sprintf("10.%d.%d.%d:7000", i>>16, i>>8&255, i&255),
@@ -24,16 +25,17 @@
 	return l
 }
 
-func BenchmarkSlopeDiscoveryDelta(b *testing.B)     { slopeAnswers(b, 1) }
-func BenchmarkSlopeDiscoveryWholeList(b *testing.B) { slopeAnswers(b, 0) }
+func BenchmarkSlopeDiscoveryDelta(b *testing.B)     { benchmarkAnswers(b, 1) }
+func BenchmarkSlopeDiscoveryWholeList(b *testing.B) { benchmarkAnswers(b, 0) }
 
-// slopeAnswers makes the answer to a proxy that knows the list as of a revision; 0 asks for all of it.
-func slopeAnswers(b *testing.B, after uint64) {
+// benchmarkAnswers measures the encoding of an answer to a proxy that knows the list as of revision after; 0 stands for
+// the complete list.
+func benchmarkAnswers(b *testing.B, after uint64) {
 	for _, n := range []int{100, 1000, 3000, 10000, 20000} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			l, bytes := slopeList(n), 0
+			l, bytes := benchmarkList(n), 0
 			for b.Loop() {
-				text, err := json.Marshal(l.answer(after))
+				text, err := json.Marshal(l.listSince(after))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/standin/node/conn.go
+++ b/internal/standin/node/conn.go
@@ -16,8 +16,9 @@
 )
 
 const (
+	// readBufferSize is that of one connection, in bytes.
 	readBufferSize = 1 << 10
-	// closeDelay is how long a connection whose last line is still queued stays open after the proxy's end.
+	// closeDelay is how long a connection with queued lines stays open after the proxy has closed its sending side.
 	closeDelay = time.Second
 )
 
@@ -26,33 +27,33 @@
 	node *Node
 	conn net.Conn
 
-	// Written by the reader with the node's lock.
-	id              judge.SessionID // "" until its first line
-	dial            judge.Dial
+	// Written by the reader while it holds the node's mu. Times are durations since the start of the run.
+	id              judge.SessionID // "" before the first line
+	dial            judge.DialIndex
 	plan            Plan
-	baseCores       float64
-	established     bool
-	mute            bool
+	baseCores       float64 // the session's load at its start, around which later loads are drawn
+	established     bool    // the session is counted in the model
+	muted           bool    // the node sends nothing more for the session: half-open, or resumed on another connection
 	nextLoadChange  time.Duration
 	nextDelayReport time.Duration
-	orphanUntil     time.Duration
+	orphanUntil     time.Duration // when the session is given up unless another proxy resumes it
 
-	outMu   sync.Mutex // orders what is sent, guards all below
-	lastDue time.Duration
-	queue   []queuedLine
-	waiting bool
+	outMu          sync.Mutex    // orders sent lines; guards all below
+	lastDue        time.Duration // of the line that was queued last
+	queue          []queuedLine
+	flushScheduled bool // lines are queued, and a timer will flush them
 }
 
-// read handles lines until the proxy ends its sending.
+// read handles lines until the proxy closes its sending side.
 func (c *conn) read() {
 	c.readLines()
-	c.ended()
+	c.handleEnd()
 }
 
 func (c *conn) readLines() {
 	n := c.node
 	lines := bufio.NewReaderSize(c.conn, readBufferSize)
-	firstByte := time.Duration(-1) // of the line that is read, -1 before
+	firstByte := time.Duration(-1) // when the first byte of the current line arrived, -1 before
 	for {
 		if firstByte < 0 {
 			if _, err := lines.Peek(1); err != nil {
@@ -71,15 +72,15 @@
 	}
 }
 
-// handle answers one line.
+// handle handles one line.
 func (c *conn) handle(text string, firstByte time.Duration) {
 	c.node.mu.Lock()
-	silent := c.mute || c.node.state == vanished
+	silent := c.muted || c.node.state == vanished
 	c.node.mu.Unlock()
 	switch {
 	case strings.HasPrefix(text, "OPEN "):
 		if c.id == "" {
-			c.open([]byte(text), firstByte)
+			c.handleOpen([]byte(text), firstByte)
 		}
 	case silent:
 	case c.id == "":
@@ -89,8 +90,9 @@
 	}
 }
 
-// ended takes the connection off the node once the proxy has ended its sending.
-func (c *conn) ended() {
+// handleEnd removes the connection from the node after the proxy has closed its sending side. The session of a connection
+// that passes through the proxy is kept as an orphan, for another proxy to resume.
+func (c *conn) handleEnd() {
 	n := c.node
 	now := n.now()
 	if c.id != "" {
@@ -100,7 +102,7 @@
 	if c.established && n.protocol.PassThrough && c.plan.Alive != nil && c.plan.Alive() && n.conns[c] {
 		n.orphans[c.id], c.orphanUntil = c, now+orphanTimeout
 	} else {
-		c.release()
+		c.releaseLoad()
 	}
 	delete(n.conns, c)
 	if n.delayReporter == c {
@@ -108,7 +110,7 @@
 	}
 	n.mu.Unlock()
 	c.outMu.Lock()
-	pending := c.waiting
+	pending := c.flushScheduled
 	c.outMu.Unlock()
 	if pending {
 		time.AfterFunc(closeDelay, func() { c.conn.Close() })
@@ -117,8 +119,8 @@
 	}
 }
 
-// release takes the session off the model. It needs the node's lock.
-func (c *conn) release() {
+// releaseLoad removes the session's load from the model. The caller must hold the node's mu.
+func (c *conn) releaseLoad() {
 	if !c.established {
 		return
 	}
@@ -129,6 +131,7 @@
 	}
 }
 
+// answerProbe answers a line on a connection without a session, which is taken for a health probe.
 func (c *conn) answerProbe(text string) {
 	n := c.node
 	n.mu.Lock()
@@ -149,59 +152,60 @@
 	}
 }
 
-// open handles a first line.
-func (c *conn) open(text []byte, firstByte time.Duration) {
+// handleOpen handles the first line of a session.
+func (c *conn) handleOpen(text []byte, firstByte time.Duration) {
 	n := c.node
-	first, err := line.ParseOpen(text)
+	request, err := line.ParseOpen(text)
 	if err != nil {
 		c.send("SYNTAX\r\n", 0)
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.conns[c] { // the process was killed before it could read the line
+	if !n.conns[c] { // the node was killed before it could read the line
 		return
 	}
 	now := n.now()
-	c.id = judge.SessionID(first.ID)
-	c.dial = n.judge.DialArrived(now, firstByte, c.id, n.ID, first.Holder != nil || first.MidFlow)
-	n.judge.SetDialProbe(c.id, c.dial, c.endUnread)
+	c.id = judge.SessionID(request.ID)
+	c.dial = n.judge.DialArrived(now, firstByte, c.id, n.ID, request.Holder != nil || request.MidFlow)
+	n.judge.SetDialProbe(c.id, c.dial, c.hasUnreadEnd)
 	if n.state != running {
 		return
 	}
 	n.model.Advance(now)
-	if first.MidFlow {
-		c.resume(now)
+	if request.MidFlow {
+		c.resumeSession(now)
 		return
 	}
-	c.accept(now, first.Remaining)
+	c.acceptSession(now, request.Remaining)
 }
 
-// accept begins a session, or refuses it. It needs the node's lock.
-func (c *conn) accept(now, timeLeft time.Duration) {
+// acceptSession accepts a session, or refuses it with BUSY if the node drains, is full, or would answer too late for the
+// time left. The caller must hold the node's mu.
+func (c *conn) acceptSession(now, timeLeft time.Duration) {
 	n := c.node
-	n.model.BeginHandshake()
+	n.model.AddHandshake()
 	wait := n.model.Delay()
-	c.plan = n.plans(c.id)
-	if n.draining || n.model.Full() || wait >= timeLeft {
+	c.plan = n.sessionPlan(c.id)
+	if n.draining || n.model.IsFull() || wait >= timeLeft {
 		if !n.draining {
-			n.model.Refuse(c.plan.Load)
+			n.model.AddRefused(c.plan.Load)
 		}
 		n.judge.DialRefused(c.id, c.dial)
 		c.sendLast("BUSY\r\n", min(wait, timeLeft/2))
 		return
 	}
 	c.establish(now)
-	n.accepted++
-	n.receipts++
-	receipt := fmt.Sprintf("n%d.%d", n.ID, n.receipts)
+	n.acceptedSessions++
+	n.receiptsIssued++
+	receipt := fmt.Sprintf("n%d.%d", n.ID, n.receiptsIssued)
 	n.judge.ReceiptIssued(c.id, receipt)
 	c.send("UP "+receipt+"\r\n", wait)
 	c.reportLoad()
 }
 
-// endUnread reports whether the proxy has ended the connection, or its sending on it, and that is still to be read.
-func (c *conn) endUnread() (ended bool) {
+// hasUnreadEnd reports whether the kernel has received the proxy's FIN or RST, which the reader has yet to read.
+func (c *conn) hasUnreadEnd() (ended bool) {
 	raw, err := c.conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
@@ -214,7 +218,7 @@
 	return ended || err != nil
 }
 
-// establish adds the session to the model. It needs the node's lock.
+// establish adds the session to the model. The caller must hold the node's mu.
 func (c *conn) establish(now time.Duration) {
 	n := c.node
 	c.baseCores = c.plan.Load.Cores
@@ -226,12 +230,12 @@
 	}
 }
 
-// resume continues a session whose packets come by another proxy now. A node that does not hold it resets. It needs the
-// node's lock.
-func (c *conn) resume(now time.Duration) {
+// resumeSession continues a session that arrives through another proxy. A node that does not hold the session resets the
+// connection, as a kernel does for an unknown TCP connection. The caller must hold the node's mu.
+func (c *conn) resumeSession(now time.Duration) {
 	n := c.node
 	holder := n.orphans[c.id]
-	for other := range n.conns { // its proxy may be there still
+	for other := range n.conns { // the connection by its previous proxy may still be open
 		if other != c && other.id == c.id && other.established {
 			holder = other
 		}
@@ -242,22 +246,23 @@
 	}
 	delete(n.orphans, c.id)
 	c.plan = holder.plan
-	holder.release()
-	holder.mute = true
+	holder.releaseLoad()
+	holder.muted = true
 	c.establish(now)
 	receipt := fmt.Sprintf("n%d.again", n.ID)
 	n.judge.ReceiptIssued(c.id, receipt)
 	c.send("UP "+receipt+"\r\n", n.model.Delay())
 }
 
-// reportLoad sends the session's load. It needs the node's lock.
+// reportLoad sends the session's load in millionths of a core. The caller must hold the node's mu.
 func (c *conn) reportLoad() {
-	if c.node.protocol.ReportsLoad && !c.mute {
+	if c.node.protocol.ReportsLoad && !c.muted {
 		c.send("LOAD "+strconv.FormatInt(int64(c.plan.Load.Cores*1e6), 10)+"\r\n", 0)
 	}
 }
 
-// echo answers one of the client's lines, which says when it was sent: "M NUMBER MICROSECONDS".
+// echo sends a client's line back after the node's delay. The line states when it was sent, in microseconds since the
+// start of the run: "M NUMBER MICROSECONDS".
 func (c *conn) echo(text string) {
 	n := c.node
 	now := n.now()
@@ -275,17 +280,17 @@
 	c.send(text+"\r\n", n.model.Delay())
 }
 
-// end sends a last line and ends the session in good order.
-func (c *conn) end(lastLine string) {
+// endSession sends a last line and closes the session cleanly.
+func (c *conn) endSession(lastLine string) {
 	c.node.judge.ServerEnded(c.node.now(), c.id, true)
 	c.node.mu.Lock()
-	c.release()
+	c.releaseLoad()
 	c.node.mu.Unlock()
 	c.sendLast(lastLine, 0)
 }
 
-// reportKilled tells the judge that the node ends the session without a line. It needs the node's lock.
-func (c *conn) reportKilled() {
+// reportReset tells the judge that the node resets the session's connection. The caller must hold the node's mu.
+func (c *conn) reportReset() {
 	if c.id != "" {
 		c.node.judge.ServerEnded(c.node.now(), c.id, true)
 		c.node.judge.DialEnded(c.node.now(), c.id, c.dial)
--- a/internal/standin/node/faults.go
+++ b/internal/standin/node/faults.go
@@ -8,19 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// drainSteps is in how many steps a draining node migrates its sessions.
+// drainSteps is the number of steps in which a draining node migrates its sessions.
 const drainSteps = 20
 
-// Hang makes the node accept and read, and answer nothing. Its process runs.
+// Hang makes the node accept connections and read, but answer nothing. Its process keeps running and still reports loads.
 func (n *Node) Hang() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.enter(hung) {
+	if n.enterState(hung) {
 		n.reportSilence()
 	}
 }
 
-// reportSilence tells the judge that no session is answered any more. It needs the lock.
+// reportSilence tells the judge that the node no longer answers any session. The caller must hold n.mu.
 func (n *Node) reportSilence() {
 	for c := range n.conns {
 		if c.established {
@@ -34,11 +34,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.state == hung {
-		n.enter(running)
+		n.enterState(running)
 	}
 }
 
-// SetSlowdown makes the node slower by a factor; 1 is its usual speed.
+// SetSlowdown divides the node's speed by a factor; 1 restores its usual speed.
 func (n *Node) SetSlowdown(factor float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -48,29 +48,29 @@
 	}
 }
 
-// Stall holds back all that the node sends for a while; afterwards it continues where it was.
+// Stall holds back everything that the node sends for a duration. It is sent afterwards; nothing is lost.
 func (n *Node) Stall(d time.Duration) {
-	n.pausedUntil.Store(max(n.pausedUntil.Load(), int64(n.now()+d)))
+	n.stalledUntil.Store(max(n.stalledUntil.Load(), int64(n.now()+d)))
 }
 
-// Kill ends the process: connections are reset, new ones refused.
+// Kill ends the node's process: open connections are reset, and new ones are refused.
 func (n *Node) Kill() { n.stop(dead) }
 
-// stop ends the process and enters a state in which there is none.
+// stop ends the node's process and enters the next state, dead or failed.
 func (n *Node) stop(next state) {
 	n.mu.Lock()
-	if !n.enter(next) {
+	if !n.enterState(next) {
 		n.mu.Unlock()
 		return
 	}
 	n.closeListener()
 	n.closeBlackhole()
-	n.cutOff.Store(false)
+	n.isolated.Store(false)
 	ended := n.conns
 	n.conns, n.delayReporter = map[*conn]bool{}, nil
 	clear(n.orphans)
 	for c := range ended {
-		c.reportKilled()
+		c.reportReset()
 	}
 	n.mu.Unlock()
 	for c := range ended {
@@ -78,14 +78,15 @@
 	}
 }
 
-// Vanish cuts the node's machine off: open connections stay open and silent, new ones are never established.
+// Vanish simulates the loss of the node's machine: open connections stay open and silent, and new ones are never
+// established.
 func (n *Node) Vanish() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.enter(vanished) {
+	if !n.enterState(vanished) {
 		return nil
 	}
-	n.cutOff.Store(true)
+	n.isolated.Store(true)
 	n.reportSilence()
 	n.closeListener()
 	var err error
@@ -93,7 +94,7 @@
 	return err
 }
 
-// closeBlackhole needs the lock.
+// closeBlackhole closes the blackhole, if there is one. The caller must hold n.mu.
 func (n *Node) closeBlackhole() {
 	if n.blackhole != nil {
 		n.blackhole.close()
@@ -101,32 +102,35 @@
 	}
 }
 
-// Return brings a vanished machine back: it resets the connections that it does not know any more, and starts cold.
-func (n *Node) Return() error {
+// Restore brings a vanished machine back. Like a machine after a reboot, it resets its former connections, which it no
+// longer knows, and starts cold.
+func (n *Node) Restore() error {
 	n.mu.Lock()
-	was := n.state
+	previous := n.state
 	n.mu.Unlock()
-	if was != vanished {
+	if previous != vanished {
 		return nil
 	}
 	n.Kill()
 	return n.Start(false)
 }
 
-// HalfOpen makes a share of the open sessions carry nothing any more, though the node is well.
+// HalfOpen makes a share of the open sessions (0 to 1) go silent without closing their connections. The node itself
+// keeps working.
 func (n *Node) HalfOpen(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
 		if c.established && n.rand.Float64() < share {
-			c.mute = true
+			c.muted = true
 			n.judge.ServerEnded(n.now(), c.id, false)
 		}
 	}
 }
 
-// Drain makes the node refuse new sessions and migrate the others, spread over a duration, or all at its end.
-func (n *Node) Drain(ctx context.Context, over time.Duration, allAtEnd bool) {
+// Drain makes the node refuse new sessions and migrate the open ones, spread evenly over a duration, or all at its end.
+// It returns after the duration or when the context ends.
+func (n *Node) Drain(ctx context.Context, duration time.Duration, allAtEnd bool) {
 	n.mu.Lock()
 	n.draining = true
 	n.mu.Unlock()
@@ -134,7 +138,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(over / drainSteps):
+		case <-time.After(duration / drainSteps):
 		}
 		if isLast := i == drainSteps-1; isLast || !allAtEnd {
 			n.migrate(1 / float64(drainSteps-i))
@@ -142,33 +146,37 @@
 	}
 }
 
-// migrate asks the clients of a share of the sessions to move.
+// migrate ends a random share of the sessions (0 to 1) with MOVE, which asks their clients to reconnect elsewhere.
 func (n *Node) migrate(share float64) {
 	n.mu.Lock()
 	var leaving []*conn
 	for c := range n.conns {
-		if c.established && !c.mute && n.state == running && n.rand.Float64() < share {
+		if c.established && !c.muted && n.state == running && n.rand.Float64() < share {
 			leaving = append(leaving, c)
 		}
 	}
 	n.mu.Unlock()
 	for _, c := range leaving {
-		c.end("MOVE\r\n")
+		c.endSession("MOVE\r\n")
 	}
 }
 
-// blackhole is a listener with a full queue, so that the kernel ignores further SYNs as if the line were cut.
+// blackhole is a listener whose accept queue is full, so that the kernel drops further SYNs as if the network were down.
 type blackhole struct {
 	fd      int
 	fillers []net.Conn // connections that fill the queue
 }
 
 const (
-	blackholeFillers    = 2 // a queue of length 0 takes one; the second fills what is left, if anything
-	fillerDialTimeout   = 20 * time.Millisecond
+	// blackholeQueueLimit is the backlog of the listener, in connections.
 	blackholeQueueLimit = 0
+	// blackholeFillers is how many connections are dialled to fill the queue: with a backlog of 0 the kernel still
+	// queues one, and the second takes any room that is left.
+	blackholeFillers  = 2
+	fillerDialTimeout = 20 * time.Millisecond
 )
 
+// openBlackhole listens at an address and fills the accept queue.
 func openBlackhole(address string) (*blackhole, error) {
 	tcpAddress, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
--- a/internal/standin/node/model.go
+++ b/internal/standin/node/model.go
@@ -1,6 +1,6 @@
-// Package node simulates a push node: a model of what its machine can do, and a server that speaks the platform's lines
-// and behaves as the model and the injected faults say. It reports to the judge what arrives and what it ends; it does
-// not decide which rules were broken.
+// Package node simulates a push node: a model of its machine's capacity and load, and a TCP server that speaks the
+// platform's line protocol with the delays of the model and the injected faults. It reports arriving dials and ended
+// sessions to the judge; it does not decide which rules were broken.
 package node
 
 import (
@@ -9,88 +9,88 @@
 	"time"
 )
 
-// Machine is what a node can do. Work is measured in seconds of a reference core.
+// Machine describes a node's capacity and costs. Work is measured in core seconds, that is seconds of a reference core.
 type Machine struct {
 	Cores            float64
 	Speed            float64       // of a core, relative to the reference core
 	HandshakeWork    float64       // work of a new session, in core seconds
-	GroupCost        float64       // of each group that the node holds any session of, in MeanLoad
+	GroupCost        float64       // of each group with a session on the node, as a multiple of MeanLoad
 	MeanLoad         float64       // load of an average session, in cores
-	ColdFrom         float64       // share of its capacity at the start
-	ColdSpan         time.Duration // until it is warm
-	OverloadMultiple float64       // it fails when its demand exceeds this times its capacity
-	OverloadWindow   time.Duration // for so long while it is cold
-	MaxSessions      int
+	ColdFrom         float64       // share of full capacity at the start, 0 to 1
+	ColdSpan         time.Duration // after which it has full capacity; until then capacity grows linearly
+	OverloadMultiple float64       // while cold it fails when its demand exceeds this multiple of its capacity
+	OverloadWindow   time.Duration // without a break for this long
+	MaxSessions      int           // beyond which it refuses sessions
 }
 
-// Load is what one session demands of its node.
+// Load is the demand of one session on its node.
 type Load struct {
 	Cores float64
-	Group string
+	Group string // "" for none
 }
 
 const (
-	// maxAdvance bounds how far the model looks at once, so that a ramp is followed.
-	maxAdvance = 100 * time.Millisecond
-	// maxDelay bounds what a node that is far behind lets a message wait.
+	// maxAdvanceStep bounds one step of the simulation, so that the growth of a cold node's capacity is followed.
+	maxAdvanceStep = 100 * time.Millisecond
+	// maxDelay bounds the simulated delay of a message on an overloaded node.
 	maxDelay = 5 * time.Second
-	// maxUtilization bounds the utilization in the queueing formula, which has no value at 1.
+	// maxUtilization bounds the utilization in the queueing formula, which is undefined at 1.
 	maxUtilization = 0.95
-	// messageWork is a message's own work, in core seconds.
+	// messageWork is the work of one message, in core seconds.
 	messageWork = 0.0005
 )
 
-// Model is a node's work: demand, capacity and backlog. It has no clock and does no I/O; times are durations since the
-// run's start and never go back.
+// Model simulates a node's demand, capacity and backlog of work. It has no clock and does no I/O; times are durations
+// since the start of the run and never decrease. It is not safe for concurrent use.
 type Model struct {
-	machine       Machine
-	started       time.Duration
-	warm          bool // from the start
-	slowdown      float64
-	now           time.Duration
-	sessionDemand float64 // cores
-	groups        map[string]int
-	sessions      int
-	backlog       float64 // core seconds
-	recentDemand  float64 // cores: work of handshakes, and loads that were refused, over about the last second
-	overloaded    bool
-	overloadStart time.Duration
-	failureReason string
+	machine         Machine
+	startedAt       time.Duration
+	startedWarm     bool // full capacity from the start
+	slowdown        float64
+	now             time.Duration
+	sessionDemand   float64 // cores
+	groups          map[string]int
+	sessions        int
+	backlog         float64 // work that is not done yet, in core seconds
+	recentDemand    float64 // cores: work of handshakes and refused loads, decaying with a time constant of one second
+	overloaded      bool    // demand is over the limit of the cold rule
+	overloadedSince time.Duration
+	failureReason   string // "" unless it has failed
 }
 
-// NewModel makes a node that starts now; a warm one has run for long.
+// NewModel returns the model of a node that starts now; a warm one has full capacity at once.
 func NewModel(m Machine, now time.Duration, warm bool) *Model {
-	return &Model{machine: m, started: now, warm: warm, slowdown: 1, now: now, groups: map[string]int{}}
+	return &Model{machine: m, startedAt: now, startedWarm: warm, slowdown: 1, now: now, groups: map[string]int{}}
 }
 
-// Warmth is the share of its full capacity that the node has.
+// Warmth returns the share of full capacity that the node has, 1 once it is warm.
 func (m *Model) Warmth() float64 {
-	if age := m.now - m.started; !m.warm && age < m.machine.ColdSpan {
+	if age := m.now - m.startedAt; !m.startedWarm && age < m.machine.ColdSpan {
 		return m.machine.ColdFrom + (1-m.machine.ColdFrom)*float64(age)/float64(m.machine.ColdSpan)
 	}
 	return 1
 }
 
-// Capacity is what it can do at this moment, in reference cores.
+// Capacity returns the node's current capacity, in reference cores.
 func (m *Model) Capacity() float64 {
 	return m.machine.Cores * m.machine.Speed * m.Warmth() / m.slowdown
 }
 
-// Demand is what its sessions and groups ask for, in cores.
+// Demand returns the demand of the node's sessions and groups, in cores.
 func (m *Model) Demand() float64 {
 	return m.sessionDemand + float64(len(m.groups))*m.machine.GroupCost*m.machine.MeanLoad
 }
 
-// Sessions is how many sessions it holds.
+// Sessions returns the number of sessions on the node.
 func (m *Model) Sessions() int { return m.sessions }
 
-// SetSlowdown makes it slower by a factor; 1 is its usual speed.
+// SetSlowdown divides the node's speed by a factor; 1 restores its usual speed.
 func (m *Model) SetSlowdown(factor float64) { m.slowdown = factor }
 
-// Advance brings the model to a moment.
+// Advance simulates the time up to now.
 func (m *Model) Advance(now time.Duration) {
 	for m.now < now {
-		step := min(now-m.now, maxAdvance)
+		step := min(now-m.now, maxAdvanceStep)
 		m.now += step
 		seconds := step.Seconds()
 		m.recentDemand *= math.Exp(-seconds)
@@ -99,37 +99,39 @@
 	}
 }
 
-// checkOverload applies the cold rule.
+// checkOverload applies the cold rule: a node that is still cold fails once demand has exceeded the allowed multiple of
+// its capacity for the whole window.
 func (m *Model) checkOverload() {
-	capacity := m.Capacity() * m.slowdown // a slow neighbour does not count
+	capacity := m.Capacity() * m.slowdown // the cold rule ignores a slowdown, which stands for a noisy neighbour
 	demand := m.Demand() + m.recentDemand
 	overloaded := m.Warmth() < 1 && demand > m.machine.OverloadMultiple*capacity
 	if overloaded && !m.overloaded {
-		m.overloadStart = m.now
+		m.overloadedSince = m.now
 	}
 	m.overloaded = overloaded
-	if overloaded && m.failureReason == "" && m.now-m.overloadStart >= m.machine.OverloadWindow {
+	if overloaded && m.failureReason == "" && m.now-m.overloadedSince >= m.machine.OverloadWindow {
 		m.failureReason = fmt.Sprintf("asked for %.2f cores, over %.1f times the %.2f it could do, for %v",
 			demand, m.machine.OverloadMultiple, capacity, m.machine.OverloadWindow)
 	}
 }
 
-// FailureReason is why the node has failed by overload, "" where it has not.
+// FailureReason describes the overload that made the node fail, "" if it has not failed.
 func (m *Model) FailureReason() string { return m.failureReason }
 
-// BeginHandshake takes a session's handshake: its work joins the backlog before it is answered.
-func (m *Model) BeginHandshake() {
+// AddHandshake adds the work of a session's handshake to the backlog, before the session is answered.
+func (m *Model) AddHandshake() {
 	m.backlog += m.machine.HandshakeWork
 	m.recentDemand += m.machine.HandshakeWork
 }
 
-// Refuse counts a session that is refused: the cold rule counts what is sent, also what can't be accepted.
-func (m *Model) Refuse(l Load) { m.recentDemand += l.Cores }
+// AddRefused counts the load of a refused session: the cold rule counts all load that the node is sent, not only what it
+// accepts.
+func (m *Model) AddRefused(l Load) { m.recentDemand += l.Cores }
 
-// Full reports whether it holds as many sessions as it can.
-func (m *Model) Full() bool { return m.sessions >= m.machine.MaxSessions }
+// IsFull reports whether the node holds as many sessions as it can.
+func (m *Model) IsFull() bool { return m.sessions >= m.machine.MaxSessions }
 
-// Add takes an established session.
+// Add adds the load of an established session.
 func (m *Model) Add(l Load) {
 	m.sessions++
 	m.sessionDemand += l.Cores
@@ -138,7 +140,7 @@
 	}
 }
 
-// Remove releases a session.
+// Remove removes the load of a session.
 func (m *Model) Remove(l Load) {
 	m.sessions--
 	m.sessionDemand = max(m.sessionDemand-l.Cores, 0)
@@ -147,11 +149,13 @@
 	}
 }
 
-// Change gives a session another load.
-func (m *Model) Change(from, to float64) { m.sessionDemand = max(m.sessionDemand-from+to, 0) }
+// ChangeLoad replaces the load of a session.
+func (m *Model) ChangeLoad(oldCores, newCores float64) {
+	m.sessionDemand = max(m.sessionDemand-oldCores+newCores, 0)
+}
 
-// Delay is how long a message that arrives now waits: for the backlog, and as in a queue with random service times,
-// growing as demand nears capacity.
+// Delay returns how long a message that arrives now waits: the time to work off the backlog, and the mean wait of an M/M/1
+// queue, which grows as demand approaches capacity.
 func (m *Model) Delay() time.Duration {
 	capacity := m.Capacity()
 	utilization := min(m.Demand()/capacity, maxUtilization)
--- a/internal/standin/node/node.go
+++ b/internal/standin/node/node.go
@@ -14,52 +14,52 @@
 	"chalkferry/internal/standin/judge"
 )
 
-// Plan is what the platform knows of a session that a proxy does not.
+// Plan is what the simulation knows about a session and a proxy does not.
 type Plan struct {
 	Load Load
-	// ChangeEvery is how often the session's load changes, 0 never.
+	// ChangeEvery is the mean time between changes of the session's load, 0 for no change.
 	ChangeEvery time.Duration
-	// Alive reports whether the session's client is there and wants it; nil for one that nobody knows.
+	// Alive reports whether the session's client still exists and wants it; nil for an unknown session.
 	Alive func() bool
 }
 
-// Protocol is what a node sends beside its answers, and how sessions reach it.
+// Protocol selects what a node sends beside its answers, and how sessions reach it.
 type Protocol struct {
-	ReportsLoad   bool // LOAD with a session's load, in microseconds of work a second
-	ReportsDelay  bool // LOAD with the delay of messages, in milliseconds, once a second on one connection
+	ReportsLoad   bool // LOAD with a session's load, in microseconds of work per second
+	ReportsDelay  bool // LOAD with the delay of messages, in milliseconds, once per second on one connection
 	AnswersProbes bool // PING and STATS are answered
-	PassThrough   bool // sessions pass through proxies and outlive them
+	PassThrough   bool // another proxy can resume the sessions of one that has stopped
 }
 
 const (
-	// orphanTimeout is how long a node holds a session that no proxy carries any more, while its client is there.
+	// orphanTimeout is how long a node keeps a session that no proxy carries any more, as long as its client exists.
 	orphanTimeout = 8 * time.Second
-	// delayReportEvery is how often the delay of messages is reported.
+	// delayReportEvery is the interval between reports of the delay of messages.
 	delayReportEvery = time.Second
-	// acceptRetryDelay is the pause after an accept that failed for want of descriptors.
+	// acceptRetryDelay is the pause after an accept that failed because the process had no free file descriptor.
 	acceptRetryDelay = 10 * time.Millisecond
-	// longAgo is before any run's start; the clock is below 0 until then.
-	longAgo = time.Duration(math.MinInt64)
+	// beforeStart is earlier than any time of a run; the clock is negative before the start of the run.
+	beforeStart = time.Duration(math.MinInt64)
 )
 
-// state is a node's condition as a process and a machine.
+// state is the state of a node's process and machine.
 type state int
 
 const (
 	running  state = iota
-	hung           // accepts and reads, and sends nothing but loads
-	vanished       // sends nothing, ends nothing; new connections are never established
-	dead           // the process is gone
-	failed         // overloaded while cold; stays down
+	hung           // accepts connections and reads, but sends nothing except loads
+	vanished       // the machine is unreachable: it sends nothing, and new connections are never established
+	dead           // the process has ended
+	failed         // overloaded while cold; stays down until it is started again
 )
 
-// transitions are the states that may follow each one.
+// transitions lists the states that may follow each state.
 var transitions = [...][]state{
 	running:  {hung, vanished, dead, failed},
 	hung:     {running, vanished, dead, failed},
 	vanished: {running, dead},
 	dead:     {running},
-	failed:   {dead}, // removed by the platform
+	failed:   {dead}, // the platform removes it; Start may then start it again
 }
 
 // Node is one simulated push node.
@@ -67,15 +67,15 @@
 	ID      judge.NodeID
 	Address string // host:port, the same after a restart
 
-	now       func() time.Duration
-	judge     *judge.Judge
-	plans     func(judge.SessionID) Plan
-	machine   Machine
-	protocol  Protocol
-	onFailure func(*Node)
+	now         func() time.Duration
+	judge       *judge.Judge
+	sessionPlan func(judge.SessionID) Plan
+	machine     Machine
+	protocol    Protocol
+	onFailure   func(*Node)
 
-	pausedUntil atomic.Int64 // a duration since the run's start
-	cutOff      atomic.Bool  // nothing that it sends gets out
+	stalledUntil atomic.Int64 // until when sent lines are held back, in nanoseconds since the start of the run
+	isolated     atomic.Bool  // everything that it sends is dropped
 
 	mu                  sync.Mutex // guards all below
 	state               state
@@ -83,40 +83,42 @@
 	model               *Model
 	rand                *rand.Rand
 	listener            net.Listener
-	blackhole           *blackhole // in place of the listener of a vanished machine, nil without
+	blackhole           *blackhole // replaces the listener while the machine has vanished, else nil
 	conns               map[*conn]bool
-	orphans             map[judge.SessionID]*conn // sessions whose proxy is gone
-	receipts            int
-	started             time.Duration
-	delayReporter       *conn // on which the delay of messages is reported
-	descriptorShortages int   // accepts that failed for want of descriptors
-	accepted            int   // sessions
+	orphans             map[judge.SessionID]*conn // sessions whose proxy has gone and that may be resumed
+	receiptsIssued      int
+	startedAt           time.Duration
+	delayReporter       *conn // the connection on which the delay of messages is reported, nil for none
+	descriptorShortages int   // accepts that failed because the process had no free file descriptor
+	acceptedSessions    int   // since the start of the run
 }
 
-// New makes a node that has run for long; Start begins to listen. onFailure is called when the node is overloaded while
-// cold.
+// New returns a node that is not started yet. now is the time since the start of the run, the seed that of its random
+// loads and faults. sessionPlan returns what the simulation knows about a session. onFailure is called after the node has
+// failed because it was overloaded while cold.
 func New(id judge.NodeID, address string, m Machine, protocol Protocol, seed int64, now func() time.Duration, j *judge.Judge,
-	plans func(judge.SessionID) Plan, onFailure func(*Node)) *Node {
+	sessionPlan func(judge.SessionID) Plan, onFailure func(*Node)) *Node {
 	n := &Node{
-		ID:        id,
-		Address:   address,
-		now:       now,
-		judge:     j,
-		plans:     plans,
-		machine:   m,
-		protocol:  protocol,
-		onFailure: onFailure,
-		state:     dead,
-		rand:      rand.New(rand.NewSource(seed)),
-		conns:     map[*conn]bool{},
-		orphans:   map[judge.SessionID]*conn{},
+		ID:          id,
+		Address:     address,
+		now:         now,
+		judge:       j,
+		sessionPlan: sessionPlan,
+		machine:     m,
+		protocol:    protocol,
+		onFailure:   onFailure,
+		state:       dead,
+		rand:        rand.New(rand.NewSource(seed)),
+		conns:       map[*conn]bool{},
+		orphans:     map[judge.SessionID]*conn{},
 	}
-	n.pausedUntil.Store(int64(longAgo))
+	n.stalledUntil.Store(int64(beforeStart))
 	return n
 }
 
-// enter is the one place where a node changes its state. It needs the lock.
-func (n *Node) enter(next state) bool {
+// enterState changes the node's state if the transition is allowed, and reports whether it is. No other function changes
+// the state. The caller must hold n.mu.
+func (n *Node) enterState(next state) bool {
 	for _, allowed := range transitions[n.state] {
 		if allowed == next {
 			n.state = next
@@ -126,15 +128,15 @@
 	return false
 }
 
-// isDown reports whether there is no process. It needs the lock.
+// isDown reports whether the node's process has ended. The caller must hold n.mu.
 func (n *Node) isDown() bool { return n.state == dead || n.state == failed }
 
-// Start begins to listen, cold or warm. A node that runs is left as it is.
+// Start starts the node, cold or warm. A node that is not down is left as it is.
 func (n *Node) Start(warm bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.state == failed {
-		n.enter(dead)
+		n.enterState(dead)
 	}
 	if n.state != dead {
 		return nil
@@ -142,17 +144,17 @@
 	if err := n.listen(); err != nil {
 		return err
 	}
-	n.enter(running)
+	n.enterState(running)
 	n.draining = false
 	n.model = NewModel(n.machine, n.now(), warm)
-	n.started = n.now()
+	n.startedAt = n.now()
 	return nil
 }
 
-// Close ends the node for good.
+// Close ends the node's process.
 func (n *Node) Close() { n.Kill() }
 
-// listen needs the lock.
+// listen opens the listener and accepts connections in a new goroutine. The caller must hold n.mu.
 func (n *Node) listen() error {
 	l, err := net.Listen("tcp", n.Address)
 	if err != nil {
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// closeListener needs the lock.
+// closeListener closes the listener, if there is one. The caller must hold n.mu.
 func (n *Node) closeListener() {
 	if n.listener != nil {
 		n.listener.Close()
@@ -171,6 +173,7 @@
 	}
 }
 
+// accept accepts connections until the listener is closed.
 func (n *Node) accept(l net.Listener) {
 	for {
 		netConn, err := l.Accept()
@@ -184,7 +187,7 @@
 		case err != nil:
 			return
 		}
-		c := &conn{node: n, conn: netConn, dial: -1, lastDue: longAgo}
+		c := &conn{node: n, conn: netConn, dial: -1, lastDue: beforeStart}
 		n.mu.Lock()
 		if n.isDown() || n.listener != l {
 			n.mu.Unlock()
@@ -205,7 +208,7 @@
 	c.Close()
 }
 
-// Tick reports loads and delays and applies the cold rule; it is to be called about ten times a second.
+// Tick reports loads and delays and applies the cold rule. It should be called about ten times per second.
 func (n *Node) Tick() {
 	n.mu.Lock()
 	if n.model == nil || n.isDown() {
@@ -215,7 +218,7 @@
 	now := n.now()
 	n.model.Advance(now)
 	failure := n.model.FailureReason()
-	if failure == "" && (n.state == running || n.state == hung) { // one that hangs still reports loads
+	if failure == "" && (n.state == running || n.state == hung) { // a hung node still reports loads
 		n.reportDelay(now)
 		n.changeLoads(now)
 	}
@@ -228,7 +231,7 @@
 	}
 }
 
-// reportDelay needs the lock.
+// reportDelay sends the delay of messages if it is due. The caller must hold n.mu.
 func (n *Node) reportDelay(now time.Duration) {
 	c := n.delayReporter
 	if !n.protocol.ReportsDelay || c == nil || now < c.nextDelayReport {
@@ -238,57 +241,57 @@
 	c.send(fmt.Sprintf("LOAD %d\r\n", n.model.Delay().Milliseconds()), 0)
 }
 
-// changeLoads gives the sessions whose time has come another load. It needs the lock.
+// changeLoads draws a new load for each session whose load is due to change. The caller must hold n.mu.
 func (n *Node) changeLoads(now time.Duration) {
 	for c := range n.conns {
 		if c.plan.ChangeEvery <= 0 || !c.established || now < c.nextLoadChange {
 			continue
 		}
 		cores := c.baseCores * (0.5 + n.rand.ExpFloat64()/2)
-		n.model.Change(c.plan.Load.Cores, cores)
+		n.model.ChangeLoad(c.plan.Load.Cores, cores)
 		c.plan.Load.Cores = cores
 		c.nextLoadChange = now + time.Duration((0.5+n.rand.Float64())*float64(c.plan.ChangeEvery))
 		c.reportLoad()
 	}
 }
 
-// dropOrphans gives up sessions that no proxy has resumed in time, or whose client is gone. It needs the lock.
+// dropOrphans drops sessions that no proxy has resumed in time, or whose client has gone. The caller must hold n.mu.
 func (n *Node) dropOrphans(now time.Duration) {
 	for id, c := range n.orphans {
 		if now > c.orphanUntil || !c.plan.Alive() {
-			c.release()
+			c.releaseLoad()
 			delete(n.orphans, id)
 		}
 	}
 }
 
-// chooseDelayReporter picks a session on which the delay of messages is reported. It needs the lock.
+// chooseDelayReporter picks a session on which the delay of messages is reported. The caller must hold n.mu.
 func (n *Node) chooseDelayReporter(now time.Duration) {
 	n.delayReporter = nil
 	for c := range n.conns {
-		if c.established && !c.mute {
+		if c.established && !c.muted {
 			n.delayReporter, c.nextDelayReport = c, now+delayReportEvery
 			return
 		}
 	}
 }
 
-// Stats are a node's figures at a moment.
+// Stats is a snapshot of a node's statistics. Sessions, demand, capacity and delay are 0 while its process is down.
 type Stats struct {
 	Sessions            int
-	Accepted            int     // sessions since the run's start
-	Demand              float64 // cores
-	Capacity            float64 // cores
-	Delay               time.Duration
-	DescriptorShortages int // accepts that failed for want of descriptors
-	Running             bool
+	Accepted            int           // sessions since the start of the run
+	Demand              float64       // cores
+	Capacity            float64       // cores
+	Delay               time.Duration // of a message that arrives now
+	DescriptorShortages int           // accepts that failed because the process had no free file descriptor
+	Running             bool          // neither hung, vanished nor down
 }
 
-// Stats returns the node's figures.
+// Stats returns the node's current statistics.
 func (n *Node) Stats() Stats {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	s := Stats{DescriptorShortages: n.descriptorShortages, Running: n.state == running, Accepted: n.accepted}
+	s := Stats{DescriptorShortages: n.descriptorShortages, Running: n.state == running, Accepted: n.acceptedSessions}
 	if n.model != nil && !n.isDown() {
 		n.model.Advance(n.now())
 		s.Sessions, s.Demand = n.model.Sessions(), n.model.Demand()
@@ -297,9 +300,9 @@
 	return s
 }
 
-// StartedAt is when the node last started.
+// StartedAt returns when the node was last started, as a duration since the start of the run.
 func (n *Node) StartedAt() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.started
+	return n.startedAt
 }
--- a/internal/standin/node/node_test.go
+++ b/internal/standin/node/node_test.go
@@ -23,53 +23,53 @@
 var machine = Machine{Cores: 2, Speed: 1, HandshakeWork: 0.002, GroupCost: 2, MeanLoad: 0.1, ColdFrom: 0.2,
 	ColdSpan: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second, MaxSessions: 100}
 
-// Whatever comes and goes, what is asked is the sum of what is held, work piles up only beyond what can be done, and
-// delays follow it.
+// Under random sequences of sessions and slowdowns, demand is the sum of the loads held, the backlog grows only when demand
+// exceeds capacity, and delay and warmth stay within their bounds.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewModel(machine, 0, rapid.Bool().Draw(t, "warm"))
 		now := time.Duration(0)
-		var held []Load
+		var loads []Load
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				l := Load{rapid.Float64Range(0, 0.5).Draw(t, "load"), rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "group")}
-				m.BeginHandshake()
+				m.AddHandshake()
 				m.Add(l)
-				held = append(held, l)
+				loads = append(loads, l)
 			case 1:
-				if len(held) > 0 {
-					m.Remove(held[0])
-					held = held[1:]
+				if len(loads) > 0 {
+					m.Remove(loads[0])
+					loads = loads[1:]
 				}
 			case 2:
 				m.SetSlowdown(rapid.Float64Range(1, 4).Draw(t, "slow"))
 			}
-			was := m.backlog
+			backlogBefore := m.backlog
 			now += time.Duration(rapid.IntRange(0, 500).Draw(t, "gap")) * ms
 			m.Advance(now)
-			asked, groups := 0.0, map[string]bool{}
-			for _, l := range held {
-				asked += l.Cores
+			wantDemand, groups := 0.0, map[string]bool{}
+			for _, l := range loads {
+				wantDemand += l.Cores
 				if l.Group != "" {
 					groups[l.Group] = true
 				}
 			}
-			asked += float64(len(groups)) * machine.GroupCost * machine.MeanLoad
-			if math.Abs(asked-m.Demand()) > 1e-9 || m.Sessions() != len(held) {
-				t.Fatalf("asked %v for %v, held %d of %d", m.Demand(), asked, m.Sessions(), len(held))
+			wantDemand += float64(len(groups)) * machine.GroupCost * machine.MeanLoad
+			if math.Abs(wantDemand-m.Demand()) > 1e-9 || m.Sessions() != len(loads) {
+				t.Fatalf("demand %v, want %v; %d sessions, want %d", m.Demand(), wantDemand, m.Sessions(), len(loads))
 			}
-			if m.Demand() < machine.Cores*machine.ColdFrom/4 && m.backlog > was {
-				t.Fatalf("work piles up from %v to %v", was, m.backlog)
+			if m.Demand() < machine.Cores*machine.ColdFrom/4 && m.backlog > backlogBefore {
+				t.Fatalf("backlog grew from %v to %v, though demand is below capacity", backlogBefore, m.backlog)
 			}
 			if m.Delay() < 0 || m.Delay() > maxDelay || m.Warmth() < machine.ColdFrom || m.Warmth() > 1 {
-				t.Fatalf("delay %v, warmth %v", m.Delay(), m.Warmth())
+				t.Fatalf("delay %v or warmth %v out of bounds", m.Delay(), m.Warmth())
 			}
 		}
 	})
 }
 
-// A cold node falls over when it is sent too much for the whole window, and only then.
+// Only a cold node that is overloaded for the whole window fails.
 func TestFallsOver(t *testing.T) {
 	for _, c := range []struct {
 		load float64
@@ -83,7 +83,7 @@
 		m.Remove(Load{Cores: c.load})
 		m.Advance(5 * time.Second)
 		if why := m.FailureReason(); (why != "") != c.want {
-			t.Errorf("%+v: %q", c, why)
+			t.Errorf("%+v: failure reason %q", c, why)
 		}
 	}
 }
@@ -97,21 +97,21 @@
 	t.Helper()
 	s.SetReadDeadline(time.Now().Add(2 * time.Second))
 	if got, err := s.lines.ReadString('\n'); err != nil || !strings.HasPrefix(got, want) {
-		t.Fatalf("%q, %v, want %q", got, err, want)
+		t.Fatalf("received %q, %v, want %q", got, err, want)
 	}
 }
 
-// quiet checks that nothing comes, and that the connection stays.
+// expectSilence checks that no line arrives and that the connection stays open.
 func (s session) expectSilence(t *testing.T) {
 	t.Helper()
 	s.SetReadDeadline(time.Now().Add(150 * ms))
 	var timeout net.Error
 	if got, err := s.lines.ReadString('\n'); !errors.As(err, &timeout) || !timeout.Timeout() {
-		t.Fatalf("%q, %v, want silence", got, err)
+		t.Fatalf("received %q, %v, want silence", got, err)
 	}
 }
 
-// What each fault does is seen by one that is connected, and by one that connects.
+// Each fault has its effect both on an open connection and on a new one.
 func TestFaults(t *testing.T) {
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
@@ -133,7 +133,7 @@
 		fmt.Fprintf(c, "OPEN %d 7 c=page,d=500\r\n", ids)
 		return session{c, bufio.NewReader(c)}, nil
 	}
-	up := func() session {
+	openSession := func() session {
 		t.Helper()
 		s, err := connect()
 		if err != nil {
@@ -145,13 +145,13 @@
 		s.expect(t, "M 1")
 		return s
 	}
-	s := up()
+	s := openSession()
 
 	n.Hang()
 	fmt.Fprint(s, "M 2\r\n")
 	s.expectSilence(t)
 	if other, err := connect(); err != nil {
-		t.Error("one that hangs takes connections: ", err)
+		t.Error("connection to a hung node: ", err)
 	} else {
 		other.expectSilence(t)
 	}
@@ -164,13 +164,13 @@
 	fmt.Fprint(s, "M 4\r\n")
 	s.expect(t, "M 4")
 	if took := time.Since(before); took < 190*ms {
-		t.Errorf("a line in a stall of 200 ms took %v", took)
+		t.Errorf("line sent in a stall of 200 ms came back after %v", took)
 	}
 
 	n.HalfOpen(1)
 	fmt.Fprint(s, "M 5\r\n")
 	s.expectSilence(t)
-	s = up() // others are well
+	s = openSession() // other sessions still work
 
 	if err := n.Vanish(); err != nil {
 		t.Fatal(err)
@@ -178,29 +178,29 @@
 	fmt.Fprint(s, "M 6\r\n")
 	s.expectSilence(t)
 	if _, err := connect(); err == nil {
-		t.Error("a connection to a machine that vanished came up")
+		t.Error("connection to a vanished machine was established")
 	}
-	if err := n.Return(); err != nil {
+	if err := n.Restore(); err != nil {
 		t.Fatal(err)
 	}
 	s.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := s.lines.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("after its return: %v, want a reset", err)
+		t.Errorf("open connection after the machine came back: %v, want a reset", err)
 	}
-	s = up()
+	s = openSession()
 
 	n.Kill()
 	s.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := s.lines.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("killed: %v, want a reset", err)
+		t.Errorf("open connection to a killed node: %v, want a reset", err)
 	}
 	if _, err := connect(); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("killed: %v, want a refusal", err)
+		t.Errorf("new connection to a killed node: %v, want a refusal", err)
 	}
 	if err := n.Start(false); err != nil {
 		t.Fatal(err)
 	}
-	s = up()
+	s = openSession()
 
 	go n.Drain(t.Context(), 100*ms, true)
 	s.expect(t, "MOVE")
@@ -211,9 +211,9 @@
 	late.expect(t, "BUSY")
 }
 
-// A process that is killed, or asked for a session that another connection is just beginning, while first lines come
-// on many connections. The race detector is the judge of what a connection says of itself; what is seen from outside
-// is that each ends with its process, and that the next one takes sessions as if nothing had been.
+// A node is killed, or asked to resume a session that another connection is just opening, while first lines arrive on many
+// connections. Run with -race, this guards against data races on a connection's fields. Without it, it checks that each
+// connection ends with the node's process, and that the restarted node works as before.
 func TestKilledUnderLines(t *testing.T) {
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
@@ -251,37 +251,37 @@
 			for {
 				_, err := s.lines.ReadString('\n')
 				if errors.Is(err, os.ErrDeadlineExceeded) {
-					t.Fatalf("connection %d of round %d outlived its process", i, round)
+					t.Fatalf("connection %d of round %d is still open after its node was killed", i, round)
 				}
 				if err != nil {
 					break
 				}
 			}
 		}
-		if f := n.Stats(); f.Sessions != 0 || f.Running {
-			t.Fatalf("killed, it holds %d, up %v", f.Sessions, f.Running)
+		if stats := n.Stats(); stats.Sessions != 0 || stats.Running {
+			t.Fatalf("killed node has %d sessions, running %v", stats.Sessions, stats.Running)
 		}
 	}
 }
 
-// TestEndUnread: a proxy ends a dial and makes the next one, while the first one's node, held up, has not read the end: no
-// two dials were out. One that is not ended is found all the same.
+// TestEndUnread: a proxy ends a dial and makes the next one before the first node, which is held up, has read the end. The
+// judge must not report two open dials then, but must report them if the first dial was not ended.
 func TestEndUnread(t *testing.T) {
-	for _, how := range []string{"reset", "fin", "not at all"} {
-		t.Run(how, func(t *testing.T) {
+	for _, ending := range []string{"reset", "fin", "not at all"} {
+		t.Run(ending, func(t *testing.T) {
 			began := time.Now()
 			now := func() time.Duration { return time.Since(began) }
 			j := judge.New(50*ms, 0, 0, false, []judge.Place{{}, {}})
 			plans := func(judge.SessionID) Plan { return Plan{Load: Load{Cores: 0.01}} }
-			held := make(chan bool)
+			release := make(chan bool)
 			var nodes [2]*Node
-			var holds atomic.Bool
+			var blocksClock atomic.Bool
 			for i := range nodes {
 				clock := now
 				if i == 0 {
 					clock = func() time.Duration {
-						if holds.Load() {
-							<-held
+						if blocksClock.Load() {
+							<-release
 						}
 						return now()
 					}
@@ -292,7 +292,7 @@
 				}
 			}
 			defer func() {
-				close(held)
+				close(release)
 				nodes[0].Close()
 				nodes[1].Close()
 			}()
@@ -308,8 +308,8 @@
 				return c, s
 			}
 			first, _ := dial(nodes[0])
-			holds.Store(true)
-			switch how {
+			blocksClock.Store(true)
+			switch ending {
 			case "reset":
 				first.(*net.TCPConn).SetLinger(0)
 				first.Close()
@@ -320,8 +320,8 @@
 			defer first.Close()
 			defer second.Close()
 			j.Check(now() + time.Second)
-			if _, counted := j.Violations(); (counted[judge.DuplicateEffect] > 0) != (how == "not at all") {
-				t.Errorf("broken: %v", counted)
+			if _, counted := j.Violations(); (counted[judge.DuplicateEffect] > 0) != (ending == "not at all") {
+				t.Errorf("first dial ended by %s: violations %v", ending, counted)
 			}
 		})
 	}
--- a/internal/standin/node/output.go
+++ b/internal/standin/node/output.go
@@ -8,31 +8,31 @@
 // writeTimeout bounds a write to a proxy that does not read.
 const writeTimeout = time.Second
 
-// minTimerDelay is the shortest wait for which a timer is set; a line that is due sooner is written at once.
+// minTimerDelay is the shortest delay for which a timer is set; a line that is due sooner is written at once.
 const minTimerDelay = time.Millisecond
 
-// queuedLine is a line that waits until it is due.
+// queuedLine is a line that is written when it is due.
 type queuedLine struct {
-	due    time.Duration
+	due    time.Duration // since the start of the run
 	text   string
-	isLast bool
+	isLast bool // the sending side is closed after it
 }
 
 func (c *conn) send(text string, wait time.Duration)     { c.enqueue(text, wait, false) }
 func (c *conn) sendLast(text string, wait time.Duration) { c.enqueue(text, wait, true) }
 
-// enqueue sends a line after a wait, and not before the lines that are queued already.
+// enqueue sends a line after a delay, and after all lines that are queued already.
 func (c *conn) enqueue(text string, wait time.Duration, isLast bool) {
 	c.outMu.Lock()
 	defer c.outMu.Unlock()
 	now := c.node.now()
-	due := max(now+wait, c.lastDue, time.Duration(c.node.pausedUntil.Load()))
+	due := max(now+wait, c.lastDue, time.Duration(c.node.stalledUntil.Load()))
 	c.lastDue = due
 	c.queue = append(c.queue, queuedLine{due, text, isLast})
-	if c.waiting {
+	if c.flushScheduled {
 		return
 	}
-	c.waiting = true
+	c.flushScheduled = true
 	if due-now < minTimerDelay {
 		c.flush(due)
 	} else {
@@ -40,19 +40,20 @@
 	}
 }
 
+// flushDue flushes when a timer fires.
 func (c *conn) flushDue() {
 	c.outMu.Lock()
 	defer c.outMu.Unlock()
 	c.flush(c.node.now())
 }
 
-// flush writes the lines that are due and sets a timer for the rest. It needs the lock of the output.
+// flush writes the lines that are due and sets a timer for the rest. The caller must hold c.outMu.
 func (c *conn) flush(now time.Duration) {
-	if c.node.cutOff.Load() {
-		c.queue, c.waiting = nil, false
+	if c.node.isolated.Load() {
+		c.queue, c.flushScheduled = nil, false
 		return
 	}
-	if until := time.Duration(c.node.pausedUntil.Load()); until > now {
+	if until := time.Duration(c.node.stalledUntil.Load()); until > now {
 		time.AfterFunc(until-now, c.flushDue)
 		return
 	}
@@ -60,13 +61,13 @@
 		next := c.queue[0]
 		c.queue = c.queue[1:]
 		c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		c.conn.Write([]byte(next.text)) // a failure shows at the reader
+		c.conn.Write([]byte(next.text)) // the reader sees any failure
 		if next.isLast {
 			c.conn.(*net.TCPConn).CloseWrite()
 			c.queue = nil
 		}
 	}
-	if c.waiting = len(c.queue) > 0; c.waiting {
+	if c.flushScheduled = len(c.queue) > 0; c.flushScheduled {
 		time.AfterFunc(c.queue[0].due-now, c.flushDue)
 	}
 }
