--- a/internal/rehearse/badclients.go
+++ b/internal/rehearse/badclients.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// badClientTimeout is how long a bad client may be left with neither an error nor a close.
+	// badClientTimeout is the time within which a proxy must answer a bad client with an error or close its connection.
 	badClientTimeout = 3 * time.Second
-	// minBadClientSpread is the least time over which bad clients arrive.
+	// minBadClientSpread is the shortest period over which bad clients arrive.
 	minBadClientSpread = time.Second
 	badClientDialTime  = time.Second
 )
 
-// badClients counts how the proxies dealt with clients that send invalid input, or nothing.
+// badClients runs clients that send invalid input or nothing, and counts what the proxies do.
 type badClients struct {
 	sent, answered, closed, unanswered, failed atomic.Int64
 }
 
-// invalidInput draws what a bad client sends.
+// invalidInput draws the bytes that a bad client sends: malformed or incomplete lines, or a session that sends at once and
+// leaves.
 func invalidInput(rng *rand.Rand, listener string) []byte {
 	choices := [][]byte{
 		[]byte("HELLO\r\n"),
@@ -67,7 +68,7 @@
 	}
 }
 
-// runOne is one bad client: it sends its input and reads until it is answered or closed on.
+// runOne runs one bad client: it sends its input and reads until it gets an error or its connection is closed.
 func (b *badClients) runOne(ctx context.Context, address string, input []byte) {
 	conn, err := net.DialTimeout("tcp", address, badClientDialTime)
 	if err != nil {
@@ -79,7 +80,7 @@
 	defer stop()
 	b.sent.Add(1)
 	conn.SetDeadline(time.Now().Add(badClientTimeout))
-	conn.Write(input) // it may be closed on already
+	conn.Write(input) // the proxy may have closed the connection already
 	received := make([]byte, 64)
 	for {
 		n, err := conn.Read(received)
--- a/internal/rehearse/binding.go
+++ b/internal/rehearse/binding.go
@@ -8,17 +8,17 @@
 	"chalkferry/internal/affinity"
 )
 
-// intruderCheckInterval is how often a run looks for others' processes on its proxies' processors.
+// intruderCheckInterval is the interval at which a run looks for foreign processes on its proxies' processors.
 const intruderCheckInterval = time.Second
 
-// binding is which processors a run's proxies are bound to, each to one of its own.
+// binding holds the processors that a run's proxies are bound to, one for each proxy.
 type binding struct {
-	reservation *affinity.Reservation // nil where they are bound to none
+	reservation *affinity.Reservation // nil if the proxies are not bound
 	lastCheckAt time.Duration
 }
 
-// bindProxies reserves processors for the proxies. Where there are not enough free ones the run goes on without, and its report
-// says so. The error is that of a system call.
+// bindProxies reserves a processor for each proxy. If too few are free, the run continues with unbound proxies and its
+// report says so. An error comes from a failed system call. release ends the reservation.
 func (r *rehearsal) bindProxies() (release func(), err error) {
 	reservation, err := affinity.Reserve(r.scenario.Proxies.Count)
 	var unavailable *affinity.UnavailableError
@@ -33,7 +33,7 @@
 	return reservation.Release, nil
 }
 
-// processorOf is the processor that a proxy is to be bound to, anyCPU for none.
+// processorOf returns the processor to which a proxy is bound, anyCPU for none.
 func (b *binding) processorOf(proxy int) int {
 	if b.reservation == nil {
 		return anyCPU
@@ -41,8 +41,8 @@
 	return b.reservation.Processors()[proxy]
 }
 
-// checkIntruder unbinds the proxies once a process of others is bound to a processor of theirs: what they do there would be
-// measured wrongly from now on, and taken from that process.
+// checkIntruder unbinds all proxies once a foreign process is bound to one of their processors. From then on measurements
+// of the proxy there would be wrong, and it would take time from that process.
 func (r *rehearsal) checkIntruder() {
 	b := &r.binding
 	if b.reservation == nil || r.now()-b.lastCheckAt < intruderCheckInterval {
@@ -51,21 +51,21 @@
 	b.lastCheckAt = r.now()
 	intruder, err := b.reservation.Intruder()
 	if err != nil || intruder == "" {
-		return // without /proc nothing is known of others
+		return // without /proc foreign processes can't be found
 	}
 	r.mu.Lock()
 	r.unboundReason = fmt.Sprintf("from %.1f s on: %s", r.now().Seconds(), intruder)
 	r.mu.Unlock()
 	for i, p := range r.processes {
 		if err := p.unbind(b.reservation); err != nil {
-			r.addRunError("proxy %d can't be unbound: %v", i, err)
+			r.addRunError("proxy %d could not be unbound: %v", i, err)
 		}
 	}
 	b.reservation.Release()
 	b.reservation = nil
 }
 
-// unbind lets a proxy use all processors, in this start and those to come.
+// unbind lets a proxy use all processors, in its present process and after later starts.
 func (p *process) unbind(reservation *affinity.Reservation) error {
 	p.changeMu.Lock()
 	defer p.changeMu.Unlock()
--- a/internal/rehearse/binding_test.go
+++ b/internal/rehearse/binding_test.go
@@ -26,7 +26,7 @@
 	return s
 }
 
-// proxyPIDs are the processes that serve by a program of this test, by their ids.
+// proxyPIDs returns the ids of the processes that run as proxies for this test.
 func proxyPIDs(t *testing.T) (pids []int) {
 	t.Helper()
 	commands, err := filepath.Glob("/proc/[0-9]*/cmdline")
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	for _, file := range commands {
-		text, _ := os.ReadFile(file) // "" for one that has ended
+		text, _ := os.ReadFile(file) // empty if the process has ended
 		if strings.Contains(string(text), "/"+t.Name()) && strings.Contains(string(text), "\x00serve\x00") {
 			pid, _ := strconv.Atoi(filepath.Base(filepath.Dir(file)))
 			pids = append(pids, pid)
@@ -43,7 +43,7 @@
 	return pids
 }
 
-// waitForProxies waits until as many proxies of this test run.
+// waitForProxies waits until count proxies of this test are running and returns their process ids.
 func waitForProxies(t *testing.T, count int) []int {
 	t.Helper()
 	for deadline := time.Now().Add(maxStartTime); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -51,11 +51,11 @@
 			return pids
 		}
 	}
-	t.Fatalf("%d proxies run, not %d", len(proxyPIDs(t)), count)
+	t.Fatalf("%d proxies are running, want %d", len(proxyPIDs(t)), count)
 	return nil
 }
 
-// boundProcessor is the processor that a process is bound to, anyCPU if it may use several.
+// boundProcessor returns the processor that a process is bound to, anyCPU if it may use several.
 func boundProcessor(t *testing.T, pid int) int {
 	t.Helper()
 	var set unix.CPUSet
@@ -70,11 +70,11 @@
 	return anyCPU
 }
 
-// TestRehearsalsBesideOneAnother: two rehearsals at once don't bind their proxies to the same processor.
+// TestRehearsalsBesideOneAnother: two concurrent rehearsals must not bind their proxies to the same processor.
 func TestRehearsalsBesideOneAnother(t *testing.T) {
 	reports := make(chan *Report, 2)
 	for range cap(reports) {
-		go func() { reports <- runWithFaultyProxy(t, context.Background(), smallScenario(t, "3s"), "kind") }()
+		go func() { reports <- runWithTestProxy(t, context.Background(), smallScenario(t, "3s"), "correct") }()
 	}
 	usedProcessors := map[int]bool{}
 	for _, pid := range waitForProxies(t, cap(reports)) {
@@ -91,13 +91,14 @@
 	}
 }
 
-// bindForeignProcess has a process that is no descendant of this one bound to a processor until the test ends.
+// bindForeignProcess binds a process that is no descendant of this one to a processor until the test ends.
 func bindForeignProcess(t *testing.T, processor int) {
 	t.Helper()
 	affinitytest.ForeignProcess(t, func(shell *exec.Cmd) error { return affinity.StartOn(shell, processor) })
 }
 
-// TestNoProcessorIsFree: where all processors have processes of others bound to them a rehearsal doesn't bind its own, and says so.
+// TestNoProcessorIsFree: if foreign processes are bound to all processors, a rehearsal must leave its proxies unbound and
+// report that.
 func TestNoProcessorIsFree(t *testing.T) {
 	var own unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &own); err != nil {
@@ -109,19 +110,19 @@
 		}
 	}
 	report := make(chan *Report, 1)
-	go func() { report <- runWithFaultyProxy(t, context.Background(), smallScenario(t, "2s"), "kind") }()
+	go func() { report <- runWithTestProxy(t, context.Background(), smallScenario(t, "2s"), "correct") }()
 	if processor := boundProcessor(t, waitForProxies(t, 1)[0]); processor != anyCPU {
-		t.Errorf("the proxy is bound to processor %d, which others are bound to", processor)
+		t.Errorf("the proxy is bound to processor %d, to which a foreign process is bound", processor)
 	}
 	if r := <-report; !strings.Contains(r.Unbound, "bound to it") || len(r.Failed) > 0 {
-		t.Errorf("%q, %v", r.Unbound, r.Failed)
+		t.Errorf("reason for unbound proxies %q, failures %v", r.Unbound, r.Failed)
 	}
 }
 
-// TestGivesWay: once a process of others is bound to its proxy's processor a rehearsal unbinds the proxy, and says so.
+// TestGivesWay: once a foreign process is bound to its proxy's processor, a rehearsal must unbind the proxy and report that.
 func TestGivesWay(t *testing.T) {
 	report := make(chan *Report, 1)
-	go func() { report <- runWithFaultyProxy(t, context.Background(), smallScenario(t, "4s"), "kind") }()
+	go func() { report <- runWithTestProxy(t, context.Background(), smallScenario(t, "4s"), "correct") }()
 	pid := waitForProxies(t, 1)[0]
 	processor := boundProcessor(t, pid)
 	if processor == anyCPU {
@@ -130,6 +131,6 @@
 	bindForeignProcess(t, processor)
 	r := <-report
 	if !strings.Contains(r.Unbound, fmt.Sprintf("processor %d has process", processor)) || len(r.Failed) > 0 {
-		t.Errorf("%q, %v", r.Unbound, r.Failed)
+		t.Errorf("reason for unbound proxies %q, failures %v", r.Unbound, r.Failed)
 	}
 }
--- a/internal/rehearse/build.go
+++ b/internal/rehearse/build.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// buildSeedMask separates the randomness of the platform from that of the schedule.
+	// buildSeedMask is combined with the scenario's seed, so that the platform is drawn independently of the schedule.
 	buildSeedMask = 0x5e2d58d8b3bcdee
 	nodesPerCell  = 4
-	// nodesPerSubnet is how many nodes have addresses of one /24.
+	// nodesPerSubnet is the number of nodes with addresses in the same /24.
 	nodesPerSubnet = 250
-	// firstBlock and blocks are the second octets of the loopback addresses that runs use.
+	// firstBlock is the lowest second octet of the loopback addresses that runs use, and blocks the number of such octets.
 	firstBlock, blocks = 64, 128
-	// runsPerProcess separates the blocks of processes with consecutive ids.
+	// runsPerProcess is the distance between the first blocks of processes with consecutive ids.
 	runsPerProcess = 16
 )
 
-// runsStarted counts those of this process.
+// runsStarted counts the runs of this process.
 var runsStarted atomic.Int64
 
-// addressBlock is the second octet of a run's loopback addresses. A run has addresses of its own, so that a node or a
-// proxy that starts again finds its port free.
+// addressBlock returns the second octet of a run's loopback addresses. Each run has addresses of its own, so that no other
+// run takes the port of a node or a proxy while it is down.
 func addressBlock() int {
 	return firstBlock + (os.Getpid()*runsPerProcess+int(runsStarted.Add(1)))%blocks
 }
 
-// build makes the simulated platform and starts the proxies.
+// build creates the simulated platform and starts the proxies.
 func (r *rehearsal) build(o Options) error {
 	s := r.scenario
 	places := r.placeNodes()
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// placeNodes deals the nodes, spare ones included, out to zones and cells.
+// placeNodes assigns the nodes, including the spare ones, to zones and cells.
 func (r *rehearsal) placeNodes() []judge.Place {
 	p := &r.scenario.Platform
 	places := make([]judge.Place, p.Nodes+p.Spare)
@@ -77,7 +77,7 @@
 	return places
 }
 
-// startNodes makes all nodes and starts those that are not spare. It returns their entries in the list.
+// startNodes creates all nodes and starts those that are not spare. It returns the entries of all nodes in the list.
 func (r *rehearsal) startNodes(block int) ([]list.Member, error) {
 	s := r.scenario
 	rng := rand.New(rand.NewSource(s.Seed ^ buildSeedMask))
@@ -107,7 +107,7 @@
 	return members, nil
 }
 
-// drawMachine draws what one node can do.
+// drawMachine draws the machine of one node.
 func (p *Platform) drawMachine(rng *rand.Rand) node.Machine {
 	speed := p.Speed[0] + rng.Float64()*(p.Speed[1]-p.Speed[0])
 	return node.Machine{
@@ -124,10 +124,10 @@
 	}
 }
 
-// delistFailed takes a node that was overloaded off the list.
+// delistFailed removes a node that has failed from the list.
 func (r *rehearsal) delistFailed(each *node.Node) { r.list.Update(each.ID, list.Gone, "", time.Time{}) }
 
-// connectDirectly has clients connect to the nodes, with no proxy between.
+// connectDirectly makes clients connect to the nodes instead of proxies.
 func (r *rehearsal) connectDirectly() {
 	for i, each := range r.nodes[:r.scenario.Platform.Nodes] {
 		r.front.Add(each.Address, r.zones[i])
@@ -135,7 +135,7 @@
 	r.clients.ProxyGone = func(judge.ProxyID) bool { return false }
 }
 
-// addProxy starts a proxy with an endpoint of discovery of its own.
+// addProxy starts a proxy with a discovery endpoint of its own.
 func (r *rehearsal) addProxy(i int, ip string, o Options) error {
 	s := r.scenario
 	address, err := freeAddress(ip)
--- a/internal/rehearse/capacity.go
+++ b/internal/rehearse/capacity.go
@@ -8,35 +8,36 @@
 	"chalkferry/internal/load"
 )
 
-// CapacityStep is one rate of a search for the capacity.
+// CapacityStep is the result of one rate in a search for the capacity.
 type CapacityStep struct {
-	Rate     float64      `json:"rate"` // sessions a second
+	Rate     float64      `json:"rate"` // sessions per second
 	Connects load.Summary `json:"connect_ms"`
 	Messages load.Summary `json:"message_ms"`
-	CPU      float64      `json:"cpu"` // of the proxies, in cores, while the step lasted
+	CPU      float64      `json:"cpu"` // mean usage of all proxies, in cores
 	Refused  int64        `json:"refused"`
-	Late     bool         `json:"late"` // the generator was
+	Late     bool         `json:"late"` // the load generator was late
 	Failed   []string     `json:"failed"`
 	Unbound  string       `json:"unbound,omitempty"` // why the proxies had no processors of their own
 }
 
-// CapacitySearch is how far a rate could be raised.
+// CapacitySearch is the result of a search for the highest rate that the proxies sustain.
 type CapacitySearch struct {
 	Scenario   string         `json:"scenario"`
 	Steps      []CapacityStep `json:"steps"`
-	MaxRate    float64        `json:"carried"` // the highest rate whose p99 was not twice that of the first step
-	StopReason string         `json:"why"`     // the search ended
+	MaxRate    float64        `json:"carried"` // highest rate that was not over capacity, in sessions per second
+	StopReason string         `json:"why"`     // why the search ended
 }
 
 const (
-	// capacityP99Multiple is how many times the first step's p99 counts as over capacity.
+	// capacityP99Multiple: a step whose handshake p99 exceeds the first step's by this factor is over capacity.
 	capacityP99Multiple = 2
-	// maxStepsOver is how many steps in a row over capacity end the search.
+	// maxStepsOver is the number of consecutive steps over capacity that end the search.
 	maxStepsOver = 2
 )
 
-// FindCapacity raises a scenario's rate by a factor from step to step, each a run of its own, until the p99 of the
-// handshake has doubled twice in a row, the generator is late, or a rule is broken. Each step is printed.
+// FindCapacity runs a scenario at increasing rates, multiplied by a factor from step to step, until two steps in a row
+// have more than twice the first step's handshake p99, the load generator is late, a run fails, or maxSteps steps are
+// done. Each step is printed.
 func FindCapacity(ctx context.Context, s *Scenario, o Options, from, factor float64, maxSteps int, out io.Writer) (*CapacitySearch, error) {
 	c := &CapacitySearch{Scenario: s.Name, StopReason: "all steps were taken"}
 	rate, stepsOver := from, 0
@@ -65,7 +66,7 @@
 			stepsOver++
 		}
 		if stepsOver == maxStepsOver {
-			c.StopReason = fmt.Sprintf("the p99 of the handshake passed %d times the first step's %.2f ms", capacityP99Multiple, firstP99)
+			c.StopReason = fmt.Sprintf("the p99 of the handshake exceeded %d times the first step's %.2f ms", capacityP99Multiple, firstP99)
 			return c, nil
 		}
 		rate *= factor
@@ -73,6 +74,7 @@
 	return c, nil
 }
 
+// runAtRate runs the scenario with Poisson arrivals at a rate, in sessions per second.
 func runAtRate(ctx context.Context, s *Scenario, o Options, rate float64) (*Report, error) {
 	run := *s
 	run.SetRate(rate)
@@ -101,5 +103,5 @@
 	}
 }
 
-// WriteJSON keeps the search in a file.
+// WriteJSON writes the search to a file as JSON.
 func (c *CapacitySearch) WriteJSON(file string) error { return writeJSON(file, c) }
--- a/internal/rehearse/compare.go
+++ b/internal/rehearse/compare.go
@@ -10,20 +10,20 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Ratio compares a figure of one build with the same of another, over pairs of runs: the geometric mean of the
-// pairs' ratios, with the interval in which it lies with 95% certainty if the pairs' logarithms are spread normally.
+// Ratio compares a figure of two builds over pairs of runs: the geometric mean of the pairs' ratios, with its 95%
+// confidence interval if the logarithms of the ratios are normally distributed.
 type Ratio struct {
 	Figure string    `json:"figure"`
-	A      float64   `json:"a"` // mean
-	B      float64   `json:"b"`
-	Ratio  float64   `json:"ratio"` // B over A
-	Low    float64   `json:"low"`
+	A      float64   `json:"a"`     // mean of the first build
+	B      float64   `json:"b"`     // mean of the second build
+	Ratio  float64   `json:"ratio"` // B over A, 0 if there are fewer than two pairs
+	Low    float64   `json:"low"`   // bounds of the interval
 	High   float64   `json:"high"`
-	Noise  bool      `json:"noise"` // the interval has 1 in it
-	Pairs  []float64 `json:"pairs"` // each pair's ratio
+	Noise  bool      `json:"noise"` // the interval contains 1, or there is no ratio
+	Pairs  []float64 `json:"pairs"` // ratio of each pair of which both values are above 0
 }
 
-// comparedFigure is a figure of a run, of which less is better.
+// comparedFigure is a figure of a run that is better the lower it is.
 type comparedFigure struct {
 	name  string
 	value func(r *Report) float64
@@ -39,10 +39,10 @@
 	{"peak memory, MB", (*Report).peakMemoryMB},
 }
 
-// sessionsOrOne is the number of sessions as a divisor.
+// sessionsOrOne returns the number of sessions as a divisor, 1 if there were none.
 func (r *Report) sessionsOrOne() float64 { return float64(max(r.Clients.Sessions, 1)) }
 
-// peakMemoryMB is that of the proxy that used most.
+// peakMemoryMB returns the peak memory of the proxy that used most, in MiB.
 func (r *Report) peakMemoryMB() float64 {
 	peak := 0.0
 	for _, p := range r.Proxies {
@@ -51,20 +51,20 @@
 	return peak
 }
 
-// Comparison is two builds on one scenario.
+// Comparison is the result of comparing two builds on one scenario.
 type Comparison struct {
 	Scenario string   `json:"scenario"`
 	Pairs    int      `json:"pairs"`
 	Ratios   []Ratio  `json:"ratios"`
-	Failed   []string `json:"failed"`  // runs that broke a rule, or in which the generator was late
+	Failed   []string `json:"failed"`  // failures of runs, and runs in which the load generator was late
 	Unbound  []string `json:"unbound"` // runs whose proxies had no processors of their own, with the reason
 }
 
-// buildNames are those of the two builds in what is printed.
+// buildNames are the names of the two builds in the output.
 var buildNames = [2]string{"A", "B"}
 
-// Compare runs a scenario by two builds in pairs, each pair with a seed of its own and in alternating order, so that
-// drift of the machine affects both alike.
+// Compare runs a scenario with two builds of the proxy, given by their paths, in pairs. Each pair has a seed of its own,
+// and the order alternates, so that changes of the machine's speed over time affect both builds alike.
 func Compare(ctx context.Context, s *Scenario, a, b string, pairs int, progress io.Writer) (*Comparison, error) {
 	c := &Comparison{Scenario: s.Name, Pairs: pairs, Failed: []string{}, Unbound: []string{}}
 	values := make([][2][]float64, len(comparedFigures))
@@ -85,7 +85,7 @@
 	return c, nil
 }
 
-// runPair runs the scenario once by each build, and notes failed runs.
+// runPair runs the scenario once with each build, and records failed and unbound runs.
 func (c *Comparison) runPair(ctx context.Context, s *Scenario, pair int, builds [2]string, progress io.Writer) (reports [2]*Report, err error) {
 	for turn := range builds {
 		build := (turn + pair) % 2
@@ -112,7 +112,7 @@
 	return reports, nil
 }
 
-// ratio works out one figure's ratio from its values in each pair. Where one of a pair is 0 there is none.
+// ratio computes the ratio of one figure from its values in each pair. Pairs with a value of 0 are left out.
 func ratio(name string, a, b []float64) Ratio {
 	r := Ratio{Figure: name, A: stat.Mean(a, nil), B: stat.Mean(b, nil), Noise: true}
 	var logs []float64
@@ -133,7 +133,7 @@
 	return r
 }
 
-// conclusion says what the ratio shows.
+// conclusion returns the ratio's result as text.
 func (r Ratio) conclusion() string {
 	switch {
 	case len(r.Pairs) < 2:
@@ -146,7 +146,7 @@
 	return fmt.Sprintf("B is %.0f%% higher", 100*(r.Ratio-1))
 }
 
-// Print writes the comparison for people.
+// Print writes the comparison as text.
 func (c *Comparison) Print(out io.Writer) {
 	fmt.Fprintf(out, "%s, %d pairs; B over A, with the interval of 95%%\n", c.Scenario, c.Pairs)
 	for _, r := range c.Ratios {
@@ -160,5 +160,5 @@
 	}
 }
 
-// WriteJSON keeps the comparison in a file.
+// WriteJSON writes the comparison to a file as JSON.
 func (c *Comparison) WriteJSON(file string) error { return writeJSON(file, c) }
--- a/internal/rehearse/config.go
+++ b/internal/rehearse/config.go
@@ -9,7 +9,7 @@
 	"chalkferry/internal/strict"
 )
 
-// proxyConfig is a proxy's configuration file. The keys are those of the proxy's own page.
+// proxyConfig is a proxy's configuration file. Its keys are those of the proxy's documented configuration.
 type proxyConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -20,18 +20,19 @@
 	Settings  settingsConfig  `json:"settings"`
 }
 
+// limitsConfig holds the resource limits of a proxy.
 type limitsConfig struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// settingsConfig is what a proxy knows of the platform. Times are in milliseconds.
+// settingsConfig holds the settings of the platform that a proxy needs. Times are in milliseconds.
 type settingsConfig struct {
 	Areas      []string         `json:"areas"`
 	Discovery  string           `json:"discovery"`
-	GroupSize  int              `json:"groupSize"` // proxies
-	Me         int              `json:"me"`
+	GroupSize  int              `json:"groupSize"` // number of proxies
+	Me         int              `json:"me"`        // the proxy's index
 	Ceilings   ceilingsConfig   `json:"ceilings"`
 	Domain     domainConfig     `json:"domain"`
 	Invariants invariantsConfig `json:"invariants"`
@@ -39,6 +40,7 @@
 	Tenants    []tenantConfig   `json:"tenants"`
 }
 
+// ceilingsConfig holds the limits on a proxy's dials and connections.
 type ceilingsConfig struct {
 	ConnectTimeout float64 `json:"connectTimeout"`
 	ConnIdle       float64 `json:"connIdle"`
@@ -46,6 +48,7 @@
 	Probes         bool    `json:"probes"`
 }
 
+// domainConfig describes the sessions and what the nodes report.
 type domainConfig struct {
 	Mode           string    `json:"mode"`
 	Groups         bool      `json:"groups"`
@@ -54,6 +57,7 @@
 	ReportsDelay   bool      `json:"tellsDelay"`
 }
 
+// invariantsConfig holds the limits of the rules for polling discovery and for cold nodes.
 type invariantsConfig struct {
 	MustAskIn      float64 `json:"mustAskIn"`
 	ColdSpan       float64 `json:"cold"`
@@ -62,6 +66,7 @@
 	OverloadWindow float64 `json:"tipAfter"`
 }
 
+// listenerConfig holds the settings of one listener.
 type listenerConfig struct {
 	Name            string  `json:"name"`
 	DialTimeout     float64 `json:"dialTimeout"`
@@ -72,34 +77,35 @@
 	Utility         float64 `json:"utility"`
 }
 
+// tenantConfig holds the settings of one tenant.
 type tenantConfig struct {
 	Name string `json:"name"`
 }
 
-// Values of a proxy's settings.
+// Values in a proxy's settings.
 const (
-	discoveryByWatch = "ask"
+	discoveryByWatch = "ask" // the proxy watches discovery
 	modeTerminating  = "proxy"
 	modePassThrough  = "pass"
 	connectTimeoutMs = 150
 	connIdleMs       = 10000
 )
 
-// effectNames are the settings' names for the effects.
+// effectNames maps effects to their names in the proxy's settings.
 var effectNames = map[judge.Effect]string{
 	judge.Repeatable: "read_like",
 	judge.Referenced: "idempotency_key",
 	judge.OnceOnly:   "non_idempotent",
 }
 
-// settings are what a proxy, one of the scenario's, knows of the platform.
+// settings returns the settings for a proxy, given by its index.
 func (s *Scenario) settings(proxy int) settingsConfig {
 	p := &s.Platform
 	mode := modeTerminating
 	if s.Proxies.PassThrough {
 		mode = modePassThrough
 	}
-	c := settingsConfig{
+	settings := settingsConfig{
 		Areas:     p.Zones,
 		Discovery: discoveryByWatch,
 		GroupSize: s.Proxies.Count,
@@ -112,7 +118,7 @@
 			FallMultiple: p.FallMultiple, OverloadWindow: toMillis(p.FallWindow)},
 	}
 	for _, l := range s.Listeners {
-		c.Listeners = append(c.Listeners, listenerConfig{
+		settings.Listeners = append(settings.Listeners, listenerConfig{
 			Name:            l.Name,
 			DialTimeout:     toMillis(l.DialTimeout),
 			HandshakeTarget: toMillis(l.HandshakeTarget),
@@ -121,17 +127,17 @@
 			Group:           l.Group,
 			Utility:         l.Utility,
 		})
-		c.Domain.MessageTargets = append(c.Domain.MessageTargets, toMillis(l.MessageTarget))
+		settings.Domain.MessageTargets = append(settings.Domain.MessageTargets, toMillis(l.MessageTarget))
 	}
 	for _, name := range s.Clients.Tenants {
-		c.Tenants = append(c.Tenants, tenantConfig{Name: name})
+		settings.Tenants = append(settings.Tenants, tenantConfig{Name: name})
 	}
-	return c
+	return settings
 }
 
 func toMillis(d strict.Span) float64 { return float64(d.D()) / float64(time.Millisecond) }
 
-// clientBehavior is what the scenario's clients have in common.
+// clientBehavior returns the behavior that the scenario's clients share.
 func (s *Scenario) clientBehavior() client.Behavior {
 	return client.Behavior{
 		Retries:      s.Clients.Retries,
--- a/internal/rehearse/fault.go
+++ b/internal/rehearse/fault.go
@@ -6,10 +6,10 @@
 	"chalkferry/internal/strict"
 )
 
-// FaultKind names what a fault does, as scenarios have it.
+// FaultKind is the kind of a fault. Its values are the names used in scenarios.
 type FaultKind string
 
-// The faults. docs/rehearsal.md says what each does.
+// The kinds of faults: of nodes, of discovery (list-), of proxies and of clients. docs/rehearsal.md describes each.
 const (
 	faultHang           FaultKind = "hang"
 	faultSlow           FaultKind = "slow"
@@ -34,11 +34,11 @@
 	faultRollingRestart FaultKind = "rolling-restart"
 )
 
-// faultTraits are what a kind acts on and which keys it takes.
+// faultTraits describes which targets and keys a kind of fault takes.
 type faultTraits struct {
-	onNodes, onProxies bool
-	requiredKey        string // another key that must not be 0
-	hasDuration        bool   // takes a duration
+	onNodes, onProxies bool   // it acts on chosen nodes or proxies
+	requiredKey        string // a key that must not be 0, "" for none
+	hasDuration        bool   // it may have a duration
 }
 
 var faultKinds = map[FaultKind]faultTraits{
@@ -65,18 +65,18 @@
 	faultRollingRestart: {},
 }
 
-// Fault is one entry of the timeline.
+// Fault is one fault that is injected during a run.
 type Fault struct {
 	Kind      FaultKind
-	At        strict.Span
-	Duration  strict.Span `toml:"for"` // 0 for one that is not undone
-	Nodes     []int
-	Share     float64     // of nodes, of sessions or of clients, by the kind
-	Factor    float64     // of a slow node
-	ListDelay strict.Span `toml:"by"`
-	Proxies   []int
-	Count     int  // of nodes or of clients, by the kind
-	AtOnce    bool `toml:"at_once"`
+	At        strict.Span // since the start of the run
+	Duration  strict.Span `toml:"for"` // after which it is undone; 0 for never
+	Nodes     []int       // indexes
+	Share     float64     // of nodes, sessions or clients, depending on the kind; 0 to 1
+	Factor    float64     // by which a node is slower
+	ListDelay strict.Span `toml:"by"` // delay until discovery publishes a change
+	Proxies   []int       // indexes
+	Count     int         // of nodes or clients, depending on the kind
+	AtOnce    bool        `toml:"at_once"` // a drain migrates all sessions at its end
 }
 
 func (f Fault) String() string {
--- a/internal/rehearse/faults.go
+++ b/internal/rehearse/faults.go
@@ -8,7 +8,7 @@
 	"chalkferry/internal/standin/list"
 )
 
-// startFaults injects the faults, each at its own time; several may overlap, also on one node.
+// startFaults schedules the faults, each in a goroutine of its own. Faults may overlap, even on the same node.
 func (r *rehearsal) startFaults(ctx context.Context) {
 	for _, f := range r.scenario.Faults {
 		r.faultsRunning.Go(func() {
@@ -19,7 +19,7 @@
 	}
 }
 
-// sleep waits; it reports whether the time passed before the run's end.
+// sleep waits for d. It returns false if the context ends first.
 func (r *rehearsal) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(max(d, 0)):
@@ -29,7 +29,7 @@
 	}
 }
 
-// inject injects one fault, and ends it after its duration.
+// inject injects one fault, and undoes it after its duration.
 func (r *rehearsal) inject(ctx context.Context, f Fault) {
 	var undo []func()
 	addUndo := func(call func()) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// injectAtNode injects a fault at one node. It returns what ends it, nil for nothing.
+// injectAtNode injects a fault at one node. It returns a function that undoes it, or nil.
 func (r *rehearsal) injectAtNode(ctx context.Context, f Fault, i int) (undo func()) {
 	target, id := r.nodes[i], judge.NodeID(i)
 	switch f.Kind {
@@ -72,7 +72,7 @@
 		r.relist(i, target.Start(false))
 	case faultVanish:
 		if err := target.Vanish(); err != nil {
-			r.addRunError("node %d can't vanish: %v", i, err)
+			r.addRunError("node %d could not be made to vanish: %v", i, err)
 		}
 		return func() { r.relist(i, target.Restore()) }
 	case faultHalfOpen:
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// injectAtProxy injects a fault at one proxy. It returns what ends it, nil for nothing.
+// injectAtProxy injects a fault at one proxy. It returns a function that undoes it, or nil.
 func (r *rehearsal) injectAtProxy(ctx context.Context, f Fault, i int) (undo func()) {
 	restart := func() { r.restartProxy(i) }
 	switch f.Kind {
@@ -107,7 +107,8 @@
 	return nil
 }
 
-// injectAtPlatform injects a fault of discovery, of clients or of all proxies. It returns what ends it, nil for nothing.
+// injectAtPlatform injects a fault that concerns discovery, clients or all proxies. It returns a function that undoes it,
+// or nil.
 func (r *rehearsal) injectAtPlatform(ctx context.Context, f Fault) (undo func()) {
 	switch f.Kind {
 	case faultAdd:
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// rollingRestart restarts all proxies in turn.
+// rollingRestart restarts all proxies in turn, with a pause of two detection delays between them.
 func (r *rehearsal) rollingRestart(ctx context.Context) {
 	for i := range r.processes {
 		r.stopProxy(ctx, i)
@@ -152,17 +153,17 @@
 	}
 }
 
-// relist lists a node that has started again, at whatever address it has.
+// relist publishes a node that was started again as ready, with its address and start time. err is the error of its start.
 func (r *rehearsal) relist(i int, err error) {
 	if err != nil {
-		r.addRunError("node %d does not start again: %v", i, err)
+		r.addRunError("node %d could not be restarted: %v", i, err)
 		return
 	}
 	n := r.nodes[i]
 	r.list.Update(judge.NodeID(i), list.Ready, n.Address, time.Unix(0, r.startedAt.Load()).Add(n.StartedAt()))
 }
 
-// addNodes starts spare nodes, cold.
+// addNodes starts the next spare nodes, cold.
 func (r *rehearsal) addNodes(count int) {
 	r.mu.Lock()
 	from := r.scenario.Platform.Nodes + r.addedNodes
--- a/internal/rehearse/generate.go
+++ b/internal/rehearse/generate.go
@@ -12,11 +12,11 @@
 	"chalkferry/internal/standin/judge"
 )
 
-// maxProbeWait is how long proxies may take to answer a first probe.
+// maxProbeWait is the time within which all proxies must answer a first probe.
 const maxProbeWait = 5 * time.Second
 
-// GenerateLoad sends a scenario's sessions at proxies that run already, with no simulated platform behind them: only what
-// clients see is checked.
+// GenerateLoad sends a scenario's sessions to proxies that run already, without a simulated platform behind them. Only
+// what clients see is checked.
 func GenerateLoad(ctx context.Context, s *Scenario, addresses []string, progress io.Writer) (*Report, error) {
 	sessions, err := s.Schedule()
 	if err != nil {
--- a/internal/rehearse/html.go
+++ b/internal/rehearse/html.go
@@ -13,7 +13,7 @@
 	"chalkferry/internal/load"
 )
 
-// WriteHTML draws the report as one page that needs nothing else.
+// WriteHTML writes the report to a file as a self-contained HTML page.
 func (r *Report) WriteHTML(file string) error {
 	plots, err := r.plots()
 	if err != nil {
@@ -39,26 +39,26 @@
 svg { max-width: 100%; height: auto }
 </style></head><body>
 <h1>Rehearsal: {{.Report.Scenario}}</h1>
-{{if .Report.Late}}<p class="no">The generator was late: {{.Report.LateSends}} sends by more than {{.Report.LateBoundMs}} ms. The times are its own as well as the proxies'.</p>{{end}}
-{{if .Report.Interrupted}}<p class="no">Interrupted: what was seen until then.</p>{{end}}
+{{if .Report.Late}}<p class="no">The generator was late: {{.Report.LateSends}} sends by more than {{.Report.LateBoundMs}} ms. The latencies include its own delays.</p>{{end}}
+{{if .Report.Interrupted}}<p class="no">Interrupted: the results cover the time until then.</p>{{end}}
 {{range .Report.Failed}}<p class="no">{{.}}</p>{{else}}<p class="yes">All rules kept.</p>{{end}}
 {{range .Plots}}<h2>{{.Title}}</h2>{{.SVG}}{{end}}
-{{if .Report.Rules}}<h2>Rules broken</h2><table><tr><th>rule</th><th>at, ms</th><th>session</th><th>node</th><th>proxy</th><th>what</th></tr>
+{{if .Report.Rules}}<h2>Rules broken</h2><table><tr><th>rule</th><th>at, ms</th><th>session</th><th>node</th><th>proxy</th><th>text</th></tr>
 {{range .Report.Rules}}<tr><td>{{.Rule}}</td><td>{{.AtMs}}</td><td>{{.Session}}</td><td>{{.Node}}</td><td>{{.Proxy}}</td><td>{{.Text}}</td></tr>{{end}}</table>{{end}}
 <h2>As text</h2><pre>{{.Text}}</pre>
 </body></html>
 `))
 
-// plot is one chart of the page, "" where there is nothing to draw.
+// plot is one rendered chart of the page.
 type plot struct {
 	Title string
 	SVG   template.HTML
 }
 
-// chartSpec is a chart before it is drawn.
+// chartSpec is a chart before it is rendered.
 type chartSpec struct {
 	title  string
-	axis   string // of the values
+	axis   string // label of the value axis
 	series []chart.Series
 }
 
@@ -78,13 +78,13 @@
 
 func (r *Report) charts() []chartSpec {
 	charts := []chartSpec{
-		{"Handshakes, by the second in which they were to begin", "ms", quantileLines(r.HandshakeWindows)},
-		{"Messages, by the second in which they were to be sent", "ms", quantileLines(r.MessageWindows)},
+		{"Handshakes, by their scheduled second", "ms", quantileLines(r.HandshakeWindows)},
+		{"Messages, by their scheduled second", "ms", quantileLines(r.MessageWindows)},
 	}
 	return append(charts, r.sampleCharts()...)
 }
 
-// quantileLines are the curves of p50 and p99 by window.
+// quantileLines returns the curves of p50 and p99 by window.
 func quantileLines(windows []load.Window) []chart.Series {
 	var seconds, p50, p99 []float64
 	for _, w := range windows {
@@ -95,7 +95,7 @@
 	return []chart.Series{lineSeries("p50", 0, seconds, p50), lineSeries("p99", 1, seconds, p99)}
 }
 
-// sampleCharts are the curves of what was sampled since the run's start.
+// sampleCharts returns the charts of the samples since the start of the run.
 func (r *Report) sampleCharts() []chartSpec {
 	var seconds, open, maxSessions, minSessions, maxLoad []float64
 	descriptors := make([][]float64, len(r.Proxies))
@@ -119,12 +119,12 @@
 	return []chartSpec{
 		{"Open sessions", "sessions", []chart.Series{lineSeries("all", 0, seconds, open), lineSeries("most at one node", 1, seconds, maxSessions),
 			lineSeries("least at one node", 2, seconds, minSessions)}},
-		{"The node asked for most of what it can do", "asked over capacity", []chart.Series{lineSeries("load", 0, seconds, maxLoad)}},
+		{"Highest load of any node", "demand over capacity", []chart.Series{lineSeries("load", 0, seconds, maxLoad)}},
 		{"Descriptors of the proxies", "descriptors", proxies},
 	}
 }
 
-// sessionRange is the least and the most sessions of any node, -1 and 0 without nodes.
+// sessionRange returns the lowest and the highest number of sessions of any node, -1 and 0 without nodes.
 func (s Sample) sessionRange() (low, high int) {
 	if len(s.SessionsByNode) == 0 {
 		return -1, 0
@@ -132,21 +132,21 @@
 	return slices.Min(s.SessionsByNode), slices.Max(s.SessionsByNode)
 }
 
-// lineSeries is a curve.
+// lineSeries returns a curve as a chart series; color is an index into the default colors.
 func lineSeries(name string, color int, x, y []float64) chart.Series {
 	return chart.ContinuousSeries{Name: name, XValues: x, YValues: y,
 		Style: chart.Style{StrokeColor: chart.GetDefaultColor(color), StrokeWidth: 2}}
 }
 
-// renderSVG draws series over the seconds of the run; "" where there is nothing to draw.
+// renderSVG renders series over the seconds of the run. It returns "" if there is nothing to draw.
 func renderSVG(valueAxis string, series []chart.Series) (template.HTML, error) {
 	maxValue := 0.0
 	for _, s := range series {
-		c := s.(chart.ContinuousSeries)
-		if len(c.XValues) < 2 {
+		curve := s.(chart.ContinuousSeries)
+		if len(curve.XValues) < 2 {
 			return "", nil
 		}
-		for _, v := range c.YValues {
+		for _, v := range curve.YValues {
 			maxValue = max(maxValue, v)
 		}
 	}
@@ -162,5 +162,5 @@
 	if err := graph.Render(chart.SVG, &svg); err != nil {
 		return "", err
 	}
-	return template.HTML(svg.String()), nil // made here of numbers and our own names
+	return template.HTML(svg.String()), nil // safe: it contains only numbers and names from this program
 }
--- a/internal/rehearse/monitor.go
+++ b/internal/rehearse/monitor.go
@@ -9,7 +9,7 @@
 	"chalkferry/internal/standin/judge"
 )
 
-// monitor advances the nodes and the judge and samples the processes while the run lasts.
+// monitor drives the nodes and the judge, samples the processes and prints the progress until the context ends.
 func (r *rehearsal) monitor(ctx context.Context, sessions int, progress io.Writer) {
 	ticks := time.NewTicker(tickInterval)
 	defer ticks.Stop()
@@ -36,7 +36,7 @@
 	}
 }
 
-// sample takes and keeps a sample of nodes and processes, and reports processes that have crashed.
+// sample records a sample of the nodes and processes, and reports crashed processes to the judge.
 func (r *rehearsal) sample() Sample {
 	for i, p := range r.processes {
 		p.sample()
@@ -64,7 +64,7 @@
 	return s
 }
 
-// printProgress overwrites the line about the run's progress.
+// printProgress overwrites the progress line.
 func (r *rehearsal) printProgress(out io.Writer, sample Sample, sessions int) {
 	counts := r.clients.Counts()
 	_, byRule := r.judge.Violations()
--- a/internal/rehearse/print.go
+++ b/internal/rehearse/print.go
@@ -9,10 +9,10 @@
 	"chalkferry/internal/load"
 )
 
-// maxPrintedViolations bounds how many violations are printed in detail.
+// maxPrintedViolations is the number of violations that are printed in detail.
 const maxPrintedViolations = 10
 
-// Print writes the report for people.
+// Print writes the report as text.
 func (r *Report) Print(out io.Writer) {
 	if r.Late {
 		fmt.Fprintf(out, "LATE: the generator was behind its own schedule: %d of %d sends by more than %g ms (p99 %.1f ms). "+
@@ -23,7 +23,7 @@
 			r.Unbound)
 	}
 	if r.Interrupted {
-		fmt.Fprintf(out, "interrupted: what was seen until then\n")
+		fmt.Fprintf(out, "interrupted: the results cover the time until then\n")
 	}
 	r.printSessions(out)
 	printLatencies(out, "handshake", r.Handshakes)
@@ -47,7 +47,7 @@
 	counts := r.Clients
 	fmt.Fprintf(out, "%s (seed %d): %d sessions of %d, %d tries: %d accepted, %d refused, %d torn down, %d broken, %d unanswered\n",
 		r.Scenario, r.Seed, r.Sessions, r.Scheduled, counts.Attempts, counts.Accepted, counts.Refused, counts.Failed, counts.ConnectionLost, counts.Unanswered)
-	fmt.Fprintf(out, "%d sessions were accepted at least once; then %d completed, %d moved, %d cut off, %d went on by another proxy, %d open at the end; %d gave up\n",
+	fmt.Fprintf(out, "%d sessions were accepted at least once; then %d completed, %d moved, %d cut off, %d resumed through another proxy, %d open at the end; %d gave up\n",
 		counts.Served, counts.Completed, counts.Migrated, counts.CutOff, counts.Resumed, r.OpenAtEnd, counts.GivenUp)
 }
 
@@ -72,7 +72,7 @@
 	}
 }
 
-// WriteJSON keeps the report in a file.
+// WriteJSON writes the report to a file as JSON.
 func (r *Report) WriteJSON(file string) error { return writeJSON(file, r) }
 
 // writeJSON writes a value, indented, to a file.
--- a/internal/rehearse/process.go
+++ b/internal/rehearse/process.go
@@ -20,57 +20,58 @@
 	"chalkferry/internal/standin/list"
 )
 
-// anyCPU is the processor of a process that is not bound to one.
+// anyCPU stands for the processor of a process that is not bound to one.
 const anyCPU = -1
 
 const bytesPerMB = 1 << 20
 
-// seedStep separates the seeds of a proxy's starts.
+// seedStep is the distance between the seeds of successive starts of a proxy, so that each start draws anew.
 const seedStep = 0x9e3779b97f4a7c15
 
+// processState is the state of a proxy process.
 type processState int
 
 const (
-	stopped processState = iota // not started, or ended when it was asked to
-	running                     // serves
-	ending                      // was asked to end
-	crashed                     // ended by itself, or was killed for its memory
+	stopped processState = iota // not started, or ended on request
+	running                     // started, and not asked to end
+	ending                      // asked to end
+	crashed                     // ended without request, or was killed for its memory usage
 )
 
-// process is one real proxy, over all its starts.
+// process is one proxy under test, over all its starts.
 type process struct {
 	id       judge.ProxyID
 	binary   string
 	address  string
 	folder   string // of its own: configuration, log, temporary files
-	cpu      int    // anyCPU for any
-	memoryMB int
-	sockets  int
-	profile  string // a file for a profile of its CPU, "" for none
+	cpu      int    // processor that it is bound to, or anyCPU
+	memoryMB int    // limit of resident memory in MiB
+	sockets  int    // limit of file descriptors
+	profile  string // file for its CPU profile, "" for none
 
-	arguments []string // further ones of its command
+	arguments []string // additional arguments of its command
 
-	// changeMu is held by the fault that changes the configuration or restarts the process: several may meet at one proxy.
-	changeMu sync.Mutex // guards cpu, too
+	// changeMu is held while a fault changes the configuration or restarts the process, as faults may overlap at one proxy.
+	changeMu sync.Mutex // also guards cpu
 
 	mu               sync.Mutex
 	state            processState
 	cmd              *exec.Cmd
 	exited           chan struct{}
 	config           proxyConfig
-	endpoint         *list.Endpoint
+	endpoint         *list.Endpoint // of discovery
 	starts           int
-	finishedCPU      time.Duration // used by starts that have ended
-	peakRSS          uint64
+	finishedCPU      time.Duration // CPU time of ended processes
+	peakRSS          uint64        // bytes
 	peakFDs          int
-	fds              int
-	rss              uint64
-	cpuTime          time.Duration
+	fds              int           // open file descriptors at the last sample
+	rss              uint64        // bytes at the last sample
+	cpuTime          time.Duration // of the present process at the last sample
 	crashReasons     []string
-	samplesAtFDLimit int // samples with as many descriptors as its limit
+	samplesAtFDLimit int // samples in which it had reached its limit of descriptors
 }
 
-// writeConfig replaces the configuration file atomically.
+// writeConfig replaces the configuration file atomically and returns its path.
 func (p *process) writeConfig() (string, error) {
 	text, err := json.Marshal(p.config)
 	if err != nil {
@@ -83,7 +84,7 @@
 	return file, os.Rename(file+".new", file)
 }
 
-// start starts the process. It takes the lock itself; starts of one proxy don't overlap.
+// start starts the process. The caller must not hold p.mu, and must not start one proxy twice at a time.
 func (p *process) start() error {
 	p.config.Seed = fmt.Sprintf("%016x", uint64(p.starts)*seedStep+uint64(p.id)+1)
 	file, err := p.writeConfig()
@@ -102,7 +103,8 @@
 	cmd := exec.Command(p.binary, append(args, p.arguments...)...)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+file, "TMPDIR="+p.folder)
 	cmd.Stdout, cmd.Stderr = log, log
-	// Of a group of its own, so that Ctrl-C at the terminal is the rehearsal's alone; and gone with the rehearsal.
+	// A process group of its own, so that Ctrl-C in the terminal reaches only the rehearsal. Pdeathsig kills the proxy when
+	// the rehearsal dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := startOn(cmd, p.cpu); err != nil {
 		return fmt.Errorf("%s: %w", p.binary, err)
@@ -121,11 +123,11 @@
 	return nil
 }
 
-// limitDescriptors sets the limit of descriptors of a process.
+// limitDescriptors sets a process's limit of file descriptors.
 func limitDescriptors(pid, descriptors int) error {
-	var own unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &own); err == nil && own.Max < uint64(descriptors) {
-		return fmt.Errorf("it is to have %d descriptors, and no more than %d can be given here (ulimit -Hn)", descriptors, own.Max)
+	var ownLimit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &ownLimit); err == nil && ownLimit.Max < uint64(descriptors) {
+		return fmt.Errorf("can't set a limit of %d descriptors: the hard limit here is %d (ulimit -Hn)", descriptors, ownLimit.Max)
 	}
 	limit := unix.Rlimit{Cur: uint64(descriptors), Max: uint64(descriptors)}
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
@@ -134,7 +136,7 @@
 	return nil
 }
 
-// startOn starts a command bound to one processor, or to none.
+// startOn starts a command, bound to one processor unless that is anyCPU.
 func startOn(cmd *exec.Cmd, cpu int) error {
 	if cpu == anyCPU {
 		return cmd.Start()
@@ -142,15 +144,16 @@
 	return affinity.StartOn(cmd, cpu)
 }
 
-// endGroup waits for a process to end, and kills what is left of its group: the child of a wrapper does not end with it. The id of
-// the ended process is not given to another one before that is waited for again.
+// endGroup waits for a process to end, and kills the rest of its process group: if the process is a wrapper script, its
+// child would go on. The ended process stays a zombie (WNOWAIT), so its id can't be reused before the group is killed.
 func endGroup(leader int) {
 	var info unix.Siginfo
 	for unix.Waitid(unix.P_PID, leader, &info, unix.WEXITED|unix.WNOWAIT, nil) == unix.EINTR {
 	}
-	unix.Kill(-leader, unix.SIGKILL) // nothing may be left
+	unix.Kill(-leader, unix.SIGKILL) // fails if nothing is left of the group
 }
 
+// wait waits for the process to end, and records its usage and how it ended.
 func (p *process) wait(cmd *exec.Cmd, exited chan struct{}) {
 	endGroup(cmd.Process.Pid)
 	err := cmd.Wait()
@@ -174,7 +177,7 @@
 	close(exited)
 }
 
-// signal sends a signal, which ends the process or does not. One that does not run is left as it is.
+// signal sends a signal to the process if it runs; terminates says that the signal asks it to end.
 func (p *process) signal(sig syscall.Signal, terminates bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,16 +187,16 @@
 	if terminates {
 		p.state = ending
 	}
-	p.cmd.Process.Signal(sig) // it may have ended just now
+	p.cmd.Process.Signal(sig) // fails if it has just ended
 }
 
-// kill ends it at once and waits for its end.
+// kill kills the process and waits for its end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL, true)
 	p.waitExit(context.Background())
 }
 
-// waitExit waits for the process to end.
+// waitExit waits until the process or the context ends.
 func (p *process) waitExit(ctx context.Context) {
 	p.mu.Lock()
 	exited := p.exited
@@ -207,7 +210,7 @@
 	}
 }
 
-// hasCrashed reports whether it ended by itself, or was killed for its memory.
+// hasCrashed reports whether the process ended without request, or was killed for its memory usage.
 func (p *process) hasCrashed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -216,10 +219,10 @@
 
 func (p *process) logFile() string { return filepath.Join(p.folder, "log") }
 
-// maxLogTail bounds what is quoted of a log, in bytes.
+// maxLogTail is the number of bytes of a log that are quoted in an error.
 const maxLogTail = 300
 
-// logTail is the end of the proxy's log.
+// logTail returns the end of the proxy's log, or the error of reading it.
 func (p *process) logTail() string {
 	text, err := os.ReadFile(p.logFile())
 	if err != nil {
@@ -228,14 +231,14 @@
 	return string(text[max(0, len(text)-maxLogTail):])
 }
 
-// isDown reports whether it is dead or leaving.
+// isDown reports whether the process is not running or was asked to end.
 func (p *process) isDown() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.state != running
 }
 
-// sample reads what the process uses, and kills it over its memory as the platform does.
+// sample measures the process's resource usage, and kills the process if it exceeds its memory limit, as the platform does.
 func (p *process) sample() {
 	p.mu.Lock()
 	if p.state != running && p.state != ending {
@@ -246,7 +249,7 @@
 	p.mu.Unlock()
 	proc, err := procfs.NewProc(pid)
 	if err != nil {
-		return // it has just ended
+		return // the process has just ended
 	}
 	status, err := proc.NewStatus()
 	if err != nil {
@@ -270,7 +273,7 @@
 	overLimit := status.VmRSS > uint64(p.memoryMB)*bytesPerMB
 	if overLimit && p.state == running {
 		p.state = crashed
-		p.crashReasons = append(p.crashReasons, fmt.Sprintf("killed: it used %d MB of %d", status.VmRSS/bytesPerMB, p.memoryMB))
+		p.crashReasons = append(p.crashReasons, fmt.Sprintf("killed: it used %d MB, its limit is %d", status.VmRSS/bytesPerMB, p.memoryMB))
 	}
 	p.mu.Unlock()
 	if overLimit {
@@ -278,7 +281,7 @@
 	}
 }
 
-// freeAddress finds a free port of an address.
+// freeAddress returns an address with a free port of an IP address.
 func freeAddress(ip string) (string, error) {
 	l, err := net.Listen("tcp", ip+":0")
 	if err != nil {
--- a/internal/rehearse/proxies.go
+++ b/internal/rehearse/proxies.go
@@ -12,16 +12,16 @@
 	"chalkferry/internal/standin/judge"
 )
 
-// Times of a planned restart, as the platform has them.
+// Times of a planned restart, as on the platform.
 const (
-	arrivalsAfterTerm    = 300 * time.Millisecond // in which connections still arrive after SIGTERM
-	maxDialTimeoutWaited = 3 * time.Second
-	killAfter            = 700 * time.Millisecond // SIGKILL comes no sooner than this after the longest dial timeout
-	endpointLinger       = 1500 * time.Millisecond
+	arrivalsAfterTerm    = 300 * time.Millisecond  // for which connections still arrive after SIGTERM
+	maxDialTimeoutWaited = 3 * time.Second         // bounds the dial timeout that is waited for before SIGKILL
+	killAfter            = 700 * time.Millisecond  // further wait between the longest dial timeout and SIGKILL
+	endpointLinger       = 1500 * time.Millisecond // for which discovery still answers at an address that it has left
 )
 
-// stopProxy ends a proxy as the platform does at a planned restart: SIGTERM while connections still arrive for a moment,
-// and SIGKILL no sooner than the longest dial timeout and killAfter.
+// stopProxy stops a proxy as the platform does at a planned restart: it sends SIGTERM, lets connections still arrive for a
+// short time, and sends SIGKILL after the longest dial timeout and killAfter.
 func (r *rehearsal) stopProxy(ctx context.Context, i int) {
 	p, id := r.processes[i], judge.ProxyID(i)
 	r.judge.ProxyLeaving(id)
@@ -35,21 +35,21 @@
 	untilKill, cancel := context.WithTimeout(ctx, min(dialTimeout, maxDialTimeoutWaited)+killAfter)
 	defer cancel()
 	p.waitExit(untilKill)
-	if ctx.Err() != nil { // the run is over; the proxy may go on leaving
+	if ctx.Err() != nil { // the run is over; close kills the proxy
 		return
 	}
-	if r.scenario.Proxies.PassThrough { // its sessions continue by another
+	if r.scenario.Proxies.PassThrough { // its sessions are resumed through other proxies
 		r.judge.ProxyDied(id)
 		p.kill()
 		return
 	}
 	p.kill()
-	r.sleep(ctx, 2*leeway) // its sessions are lost, so it is not dead to the judge before that was seen
+	r.sleep(ctx, 2*leeway) // sessions that it still held are lost; the judge must see that before ProxyDied excuses them
 	r.judge.Check(r.now())
 	r.judge.ProxyDied(id)
 }
 
-// restartProxy starts a proxy again with the list as it is now.
+// restartProxy starts a proxy again, with the current list in its configuration.
 func (r *rehearsal) restartProxy(i int) {
 	p := r.processes[i]
 	p.changeMu.Lock()
@@ -59,11 +59,12 @@
 	r.judge.ProxyStarted(r.now(), judge.ProxyID(i))
 	r.front.SetLeaving(judge.ProxyID(i), false)
 	if err := p.start(); err != nil {
-		r.addRunError("proxy %d does not start again: %v", i, err)
+		r.addRunError("proxy %d could not be restarted: %v", i, err)
 	}
 }
 
-// reloadProxy replaces a proxy's configuration and sends it SIGHUP; discoveryMoved gives discovery another address.
+// reloadProxy replaces a proxy's configuration and sends it SIGHUP. discoveryMoved moves its discovery endpoint to another
+// address first.
 func (r *rehearsal) reloadProxy(i int, discoveryMoved bool) {
 	p := r.processes[i]
 	p.changeMu.Lock()
@@ -71,7 +72,7 @@
 	if discoveryMoved {
 		next, err := r.list.OpenEndpoint(p.id, "127.0.0.1:0")
 		if err != nil {
-			r.addRunError("discovery can't move for proxy %d: %v", i, err)
+			r.addRunError("discovery could not be moved for proxy %d: %v", i, err)
 			return
 		}
 		previous := p.endpoint
@@ -87,7 +88,7 @@
 	p.signal(syscall.SIGHUP, false)
 }
 
-// stopAllProxies has all proxies leave, and waits for them.
+// stopAllProxies sends SIGTERM to all proxies and waits for their end, for maxStartTime at most.
 func (r *rehearsal) stopAllProxies() {
 	ctx, cancel := context.WithTimeout(context.Background(), maxStartTime)
 	defer cancel()
@@ -99,7 +100,7 @@
 	}
 }
 
-// keepLogs copies the proxies' logs to a folder.
+// keepLogs copies the proxies' logs to a folder. It returns the texts of errors.
 func (r *rehearsal) keepLogs(folder string) (errorTexts []string) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return []string{err.Error()}
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -17,16 +17,18 @@
 	"chalkferry/internal/standin/judge"
 )
 
-// TestMain is also the faulty proxy: the test's own program, started as one by a name that says what it does wrong.
+// TestMain also runs as the proxy under test: the rehearsal starts this test's program through a symbolic link, whose name
+// selects the behavior.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 2 && os.Args[1] == "serve" {
-		faultyProxy(filepath.Base(os.Args[0]), os.Args[2])
+		serveAsTestProxy(filepath.Base(os.Args[0]), os.Args[2])
 	}
 	os.Exit(m.Run())
 }
 
-// faultyProxy is a proxy that places by no rule and breaks the one that it is named for.
-func faultyProxy(behavior, file string) {
+// serveAsTestProxy serves as a proxy that dials the nodes in turn. The behavior names the rule that it breaks and how;
+// "correct" breaks none.
+func serveAsTestProxy(behavior, file string) {
 	var config struct {
 		Listen, Discovery string
 		Known             struct {
@@ -39,7 +41,7 @@
 	if json.Unmarshal(text, &config) != nil {
 		os.Exit(3)
 	}
-	go func() { // it receives changes, and does nothing about them
+	go func() { // receives changes from discovery and ignores them
 		if answer, err := http.Get("http://" + config.Discovery + "/api/targets?watch=1&after=1"); err == nil {
 			for lines := bufio.NewScanner(answer.Body); lines.Scan(); {
 			}
@@ -59,12 +61,12 @@
 		if behavior == "cold" || behavior == "drain" {
 			index = 0
 		}
-		go handleFaulty(behavior, c, nodes[index%len(nodes)].HostPort, nodes[(index+1)%len(nodes)].HostPort)
+		go serveTestClient(behavior, c, nodes[index%len(nodes)].HostPort, nodes[(index+1)%len(nodes)].HostPort)
 	}
 }
 
-// handleFaulty serves one client of the faulty proxy.
-func handleFaulty(behavior string, c net.Conn, firstNode, secondNode string) {
+// serveTestClient serves one client of the test proxy.
+func serveTestClient(behavior string, c net.Conn, firstNode, secondNode string) {
 	defer c.Close()
 	lines := bufio.NewReader(c)
 	open, err := lines.ReadString('\n')
@@ -111,7 +113,7 @@
 			defer other.Close()
 		}
 		time.Sleep(150 * time.Millisecond)
-	case "again": // after a dial that has run
+	case "again": // dials again after a dial that may have run the session
 		server.Close()
 		if server, serverLines, answer = dial(secondNode); server == nil {
 			return
@@ -133,6 +135,8 @@
 	serverLines.WriteTo(c)
 }
 
+// smallScenarioTemplate is a scenario with places for its length, further keys of the platform, the listener's effect, and
+// faults.
 const smallScenarioTemplate = `length = "%s"
 [proxies]
 count = 1
@@ -159,7 +163,7 @@
 rate = 20
 %s`
 
-// Each rule broken on the sockets by a faulty proxy is found; the same proxy that breaks none is not blamed.
+// Each rule that a faulty proxy breaks is reported; the same proxy without a fault gives no violation.
 func TestWickedProxies(t *testing.T) {
 	drain := "[[fault]]\nkind = \"drain\"\nat = \"200ms\"\nfor = \"2s\"\nnodes = [0]\n"
 	restart := "[[fault]]\nkind = \"restart\"\nat = \"100ms\"\nnodes = [0]\n"
@@ -167,8 +171,8 @@
 		behavior, effect, faults, platform string
 		rule                               judge.Rule
 	}{
-		{"kind", "repeatable", "", "", ""},
-		{"kind", "once-only", "", "", ""},
+		{"correct", "repeatable", "", "", ""},
+		{"correct", "once-only", "", "", ""},
 		{"silent", "repeatable", "", "", judge.SessionLost},
 		{"two-answers", "repeatable", "", "", judge.SessionLost},
 		{"made-up", "repeatable", "", "", judge.SessionLost},
@@ -186,27 +190,27 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := runWithFaultyProxy(t, context.Background(), s, c.behavior)
+			r := runWithTestProxy(t, context.Background(), s, c.behavior)
 			if r.Scheduled != 60 || c.rule == "" && len(r.Rules) > 0 {
-				t.Fatalf("%d sessions, %v", r.Scheduled, r.Rules)
+				t.Fatalf("%d sessions scheduled, want 60; violations %v", r.Scheduled, r.Rules)
 			}
 			if c.rule == "" {
 				return
 			}
 			if r.RuleCounts[c.rule] == 0 || r.OK() {
-				t.Fatalf("%q was not found: %v, %v, %+v, %+v", c.rule, r.RuleCounts, r.Failed, r.Clients, r.Samples)
+				t.Fatalf("no violation of %q: violations %v, failures %v, clients %+v, samples %+v", c.rule, r.RuleCounts, r.Failed, r.Clients, r.Samples)
 			}
 			for _, violation := range r.Rules {
 				if violation.Rule == c.rule && c.rule != judge.ColdNodeOverloaded && (violation.Session == "" || violation.AtMs <= 0) {
-					t.Errorf("no session or time: %v", violation)
+					t.Errorf("violation without session or time: %v", violation)
 				}
 			}
 		})
 	}
 }
 
-// runWithFaultyProxy runs a scenario with the test's program as the proxy that it is named.
-func runWithFaultyProxy(t *testing.T, ctx context.Context, s *Scenario, behavior string) *Report {
+// runWithTestProxy runs a scenario with this test's program as the proxy, with the given behavior.
+func runWithTestProxy(t *testing.T, ctx context.Context, s *Scenario, behavior string) *Report {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -223,7 +227,7 @@
 	return r
 }
 
-// An interrupted run reports what it has seen and leaves no process behind.
+// An interrupted run must report what it has seen, and leave no process behind.
 func TestInterrupted(t *testing.T) {
 	t.Parallel()
 	s, err := Parse("small.toml", fmt.Appendf(nil, smallScenarioTemplate, "20s", "", "repeatable", ""))
@@ -232,9 +236,9 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	r := runWithFaultyProxy(t, ctx, s, "kind")
+	r := runWithTestProxy(t, ctx, s, "correct")
 	if !r.Interrupted || r.Sessions == 0 || r.Sessions >= int64(r.Scheduled) || len(r.Rules) > 0 {
-		t.Fatalf("interrupted %v, %d of %d sessions, %v", r.Interrupted, r.Sessions, r.Scheduled, r.Rules)
+		t.Fatalf("interrupted %v, %d of %d sessions, violations %v", r.Interrupted, r.Sessions, r.Scheduled, r.Rules)
 	}
 	for _, pid := range proxyPIDs(t) {
 		t.Errorf("process %d is left behind", pid)
@@ -250,18 +254,18 @@
 	}
 }
 
-// A program that does not serve is reported with the end of its log, and no process is left.
+// If the proxy program exits at once, Run must return an error that says so.
 func TestNoProxy(t *testing.T) {
 	s, err := Parse("small.toml", fmt.Appendf(nil, smallScenarioTemplate, "2s", "", "repeatable", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Run(context.Background(), s, Options{Proxy: "/bin/false"}); err == nil || !strings.Contains(err.Error(), "does not serve") {
-		t.Fatal(err)
+		t.Fatalf("error %v, want one that says the proxy does not serve", err)
 	}
 }
 
-// A scenario with a mistake is refused with its line, before anything is started.
+// A scenario with a mistake must be refused with the mistake's line. Two schedules of one seed must be equal.
 func TestRefusedScenarios(t *testing.T) {
 	validText := fmt.Sprintf(smallScenarioTemplate, "3s", "", "repeatable", "")
 	lines := strings.Count(validText, "\n") + 1
@@ -282,7 +286,7 @@
 		{`length = "3s"`, "listener: there is none"},
 	} {
 		if _, err := Parse("bad.toml", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%v, want %s", err, c.want)
+			t.Errorf("error %v, want %q", err, c.want)
 		}
 	}
 	for _, name := range BuiltIn() {
@@ -299,13 +303,14 @@
 	}
 }
 
+// Ratios near 1 are reported as noise, a clear difference is not, and pairs with a 0 have no ratio.
 func TestRatio(t *testing.T) {
 	same := ratio("x", []float64{10, 11, 9, 10, 12}, []float64{11, 10, 9.5, 10.5, 11})
 	lower := ratio("x", []float64{10, 11, 9, 10, 12}, []float64{5, 5.6, 4.4, 5.1, 6})
 	if !same.Noise || lower.Noise || lower.Ratio < 0.45 || lower.Ratio > 0.55 || lower.Low > lower.Ratio || lower.High < lower.Ratio {
-		t.Fatal(same, lower)
+		t.Fatalf("similar values: %+v, want noise; halved values: %+v, want a ratio of about 0.5", same, lower)
 	}
 	if none := ratio("x", []float64{0, 0}, []float64{1, 0}); !none.Noise || len(none.Pairs) > 0 {
-		t.Fatal(none)
+		t.Fatalf("values of 0: %+v, want noise and no pairs", none)
 	}
 }
--- a/internal/rehearse/report.go
+++ b/internal/rehearse/report.go
@@ -11,52 +11,52 @@
 	"chalkferry/internal/standin/judge"
 )
 
-// Sample is the state of a run at a moment.
+// Sample is the state of a run at one time.
 type Sample struct {
-	AtMs           float64   `json:"at_ms"`
+	AtMs           float64   `json:"at_ms"` // milliseconds since the start of the run
 	OpenSessions   int       `json:"open"`
 	SessionsByNode []int     `json:"held"`      // by node
-	MaxLoad        float64   `json:"most_load"` // of the node with the highest demand over capacity
-	FDs            []int     `json:"fds"`       // by proxy
+	MaxLoad        float64   `json:"most_load"` // highest ratio of demand to capacity of any node
+	FDs            []int     `json:"fds"`       // open file descriptors by proxy
 	RSSMB          []float64 `json:"rss_mb"`    // by proxy
 }
 
-// ProxyUse is what one proxy used.
+// ProxyUse is the resource usage of one proxy over all its starts. Memory is in MiB.
 type ProxyUse struct {
 	Name        string   `json:"name"`
 	PeakRSSMB   float64  `json:"peak_rss_mb"`
-	MemoryMB    int      `json:"memory_mb"` // its limit
-	Descriptors int      `json:"descriptors"`
-	Sockets     int      `json:"sockets"` // its limit of descriptors
+	MemoryMB    int      `json:"memory_mb"`   // its limit
+	Descriptors int      `json:"descriptors"` // peak number of open file descriptors
+	Sockets     int      `json:"sockets"`     // its limit of file descriptors
 	CPUSeconds  float64  `json:"cpu_seconds"`
 	Starts      int      `json:"starts"`
-	Crashes     []string `json:"crashes,omitempty"`
+	Crashes     []string `json:"crashes,omitempty"` // the reason of each crash
 }
 
-// Shortages count what failed for want of descriptors, by who was short.
+// Shortages counts failures for lack of file descriptors or ports, by who lacked them.
 type Shortages struct {
 	Generator int64 `json:"generator"`
 	Nodes     int   `json:"standins"`
-	Proxies   int   `json:"proxies"` // samples at the limit, and sessions that a proxy refused for want of them
+	Proxies   int   `json:"proxies"` // samples at the limit, and sessions that a proxy refused for lack of descriptors
 }
 
-// BadClients are how clients that sent invalid input, or nothing, were dealt with.
+// BadClients counts clients that sent invalid input or nothing, by what the proxies did.
 type BadClients struct {
 	Sent       int64 `json:"sent"`
 	Answered   int64 `json:"answered"` // ERR or BUSY
 	Closed     int64 `json:"closed"`
-	Unanswered int64 `json:"unanswered"` // neither, within 3 s
+	Unanswered int64 `json:"unanswered"` // neither answered nor closed within badClientTimeout
 	Failed     int64 `json:"no_connection"`
 }
 
-// Report is what was seen.
+// Report is the result of a run.
 type Report struct {
 	Scenario             string             `json:"scenario"`
 	Seed                 int64              `json:"seed"`
-	Cores                int                `json:"cores"` // of the machine
+	Cores                int                `json:"cores"` // of the machine that ran the rehearsal
 	LengthMs             float64            `json:"length_ms"`
 	Interrupted          bool               `json:"interrupted"`
-	Unbound              string             `json:"unbound,omitempty"` // why proxies that were to have processors of their own had none
+	Unbound              string             `json:"unbound,omitempty"` // why proxies that should have processors of their own had none
 	Scheduled            int                `json:"scheduled"`
 	Sessions             int64              `json:"sessions"`
 	Answers              map[string]int64   `json:"answers"`
@@ -64,7 +64,7 @@
 	OpenAtEnd            int                `json:"open_at_end"`
 	Rules                []judge.Violation  `json:"rules_broken"`
 	RuleCounts           map[judge.Rule]int `json:"rules_counted"`
-	Late                 bool               `json:"late"` // the generator was; the latencies are its own as well
+	Late                 bool               `json:"late"` // the load generator was late, so the latencies include its own delays
 	LateSends            int64              `json:"late_sends"`
 	LateBoundMs          float64            `json:"late_bound_ms"`
 	Lateness             load.Summary       `json:"lateness_ms"`
@@ -80,13 +80,14 @@
 	BadClients           BadClients         `json:"bad_clients"`
 	Faults               []string           `json:"faults"`
 	Samples              []Sample           `json:"samples"`
-	RunErrors            []string           `json:"trouble,omitempty"` // of the rehearsal itself
-	Failed               []string           `json:"failed"`            // reasons of a failed verdict, by rules and counts
+	RunErrors            []string           `json:"trouble,omitempty"` // failures of the rehearsal itself
+	Failed               []string           `json:"failed"`            // reasons why the run failed, by rules and counts; Late is not among them
 }
 
+// quantiles are the percentiles at which the report lists latencies.
 var quantiles = []float64{0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99, 100}
 
-// report gathers what was seen.
+// report assembles the report of a finished run.
 func (r *rehearsal) report(scheduled int, interrupted bool) *Report {
 	s := r.scenario
 	counts := r.clients.Counts()
@@ -142,7 +143,7 @@
 	return report
 }
 
-// use is what the process used, and in how many samples it was at its limit of descriptors.
+// use returns the resource usage of the process, and the number of samples in which it was at its limit of descriptors.
 func (p *process) use(name string) (use ProxyUse, samplesAtLimit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -158,6 +159,7 @@
 	}, p.samplesAtFDLimit
 }
 
+// report returns the counts so far.
 func (b *badClients) report() BadClients {
 	return BadClients{
 		Sent:       b.sent.Load(),
@@ -168,7 +170,7 @@
 	}
 }
 
-// countDescriptorRefusals counts the sessions that a proxy refused for want of descriptors, by its log.
+// countDescriptorRefusals counts the sessions that a proxy refused for lack of descriptors, according to its log.
 func countDescriptorRefusals(file string) int {
 	text, err := os.ReadFile(file)
 	if err != nil { // it never started
@@ -177,7 +179,7 @@
 	return strings.Count(string(text), `"reason":"no-room"`)
 }
 
-// cpuSeconds is what all proxies used.
+// cpuSeconds returns the CPU time of all proxies together.
 func (r *Report) cpuSeconds() float64 {
 	total := 0.0
 	for _, p := range r.Proxies {
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// leeway is what the rules' limits are extended by.
+	// leeway is added to the time limits of the rules, for delays of the observers.
 	leeway         = 50 * time.Millisecond
 	tickInterval   = 100 * time.Millisecond
 	sampleInterval = 250 * time.Millisecond
@@ -29,7 +29,7 @@
 // rehearsal is one run of a scenario.
 type rehearsal struct {
 	scenario      *Scenario
-	startedAt     atomic.Int64 // Unix time in nanoseconds
+	startedAt     atomic.Int64 // start of the schedule, Unix time in nanoseconds
 	judge         *judge.Judge
 	nodes         []*node.Node
 	zones         []string // of each node
@@ -39,37 +39,37 @@
 	processes     []*process
 	binding       binding
 	badClients    badClients
-	folder        string
-	openAtEnd     int
-	faultsRunning sync.WaitGroup
+	folder        string         // temporary, with a subfolder for each proxy
+	openAtEnd     int            // sessions that are open when the run ends
+	faultsRunning sync.WaitGroup // and bad clients
 
 	mu            sync.Mutex // guards all below
 	samples       []Sample
-	runErrors     []string // of the rehearsal itself
+	runErrors     []string // failures of the rehearsal itself
 	addedNodes    int      // spare nodes that were started
-	unboundReason string   // why proxies that were to be bound to processors are not, "" where they are
+	unboundReason string   // why proxies that should be bound to processors are not, "" if they are
 }
 
-// Options say how a run is done.
+// Options are the options of a run that are not part of the scenario.
 type Options struct {
-	Proxy    string    // the program that serves
-	Progress io.Writer // for a line that is overwritten, nil for none
-	Logs     string    // a folder that keeps the proxies' logs, "" for none
-	Profiles string    // a folder for profiles of the proxies' CPU, "" for none
-	Direct   bool      // clients connect to the nodes, with no proxy between
+	Proxy    string    // path of the proxy program
+	Progress io.Writer // for a progress line that is overwritten, nil for none
+	Logs     string    // folder to which the proxies' logs are copied, "" for none
+	Profiles string    // folder for CPU profiles of the proxies, "" for none
+	Direct   bool      // clients connect to the nodes without proxies
 
-	Arguments func(proxy int) []string // further ones of each proxy's command, nil for none
+	Arguments func(proxy int) []string // additional arguments of each proxy's command, nil for none
 }
 
-// Run runs a scenario to its end, or to the context's, and reports what was seen. An error says that nothing could be
-// rehearsed; broken rules and lateness are in the report.
+// Run runs a scenario until its end, or until the context ends, and returns the report. An error means that the run could
+// not be started; broken rules and a late load generator are part of the report.
 func Run(ctx context.Context, s *Scenario, o Options) (*Report, error) {
 	sessions, err := s.Schedule()
 	if err != nil {
 		return nil, err
 	}
 	if len(sessions) == 0 {
-		return nil, fmt.Errorf("%s: not one session arrives", s.Name)
+		return nil, fmt.Errorf("%s: no session is scheduled", s.Name)
 	}
 	r := &rehearsal{scenario: s}
 	if r.folder, err = os.MkdirTemp("", "chalkferry-rehearsal-"); err != nil {
@@ -88,10 +88,10 @@
 	if err := r.build(o); err != nil {
 		return nil, err
 	}
-	whileRunning, cancel := context.WithCancel(ctx)
+	frontCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go r.front.Run(whileRunning)
-	if err := r.waitReady(whileRunning); err != nil {
+	go r.front.Run(frontCtx)
+	if err := r.waitReady(frontCtx); err != nil {
 		return nil, err
 	}
 	r.setStart(2 * tickInterval)
@@ -100,7 +100,7 @@
 		p.sample()
 	}
 	report := r.report(len(sessions), ctx.Err() != nil)
-	if o.Profiles != "" { // they are written as a proxy ends in good order
+	if o.Profiles != "" { // a proxy writes its profile when it exits cleanly
 		r.stopAllProxies()
 	}
 	if o.Logs != "" {
@@ -109,15 +109,15 @@
 	return report, nil
 }
 
-// now is the time since the run's start, below 0 before.
+// now returns the time since the start of the run, which is negative before it.
 func (r *rehearsal) now() time.Duration {
 	return time.Duration(time.Now().UnixNano() - r.startedAt.Load())
 }
 
-// setStart sets the run's start.
+// setStart sets the start of the run to d from now.
 func (r *rehearsal) setStart(d time.Duration) { r.startedAt.Store(time.Now().Add(d).UnixNano()) }
 
-// waitReady waits until the front has taken all proxies in.
+// waitReady waits until the front has found all proxies ready.
 func (r *rehearsal) waitReady(ctx context.Context) error {
 	for limit := time.Now().Add(maxStartTime); ; {
 		for i, p := range r.processes {
@@ -140,16 +140,17 @@
 	}
 }
 
-// runSessions sends the sessions and injects the faults, and returns when the run is over and all of it has ended.
+// runSessions sends the sessions and injects the faults. It returns when the run is over and all its clients and faults
+// have ended.
 func (r *rehearsal) runSessions(ctx context.Context, sessions []trace.Session, progress io.Writer) {
-	running, cancelAll := context.WithCancel(ctx)
+	runCtx, cancelAll := context.WithCancel(ctx)
 	defer cancelAll()
-	r.startFaults(running)
+	r.startFaults(runCtx)
 	var monitor sync.WaitGroup
-	monitored, stopMonitor := context.WithCancel(context.Background())
-	monitor.Go(func() { r.monitor(monitored, len(sessions), progress) })
+	monitorCtx, stopMonitor := context.WithCancel(context.Background())
+	monitor.Go(func() { r.monitor(monitorCtx, len(sessions), progress) })
 
-	clientsDone := r.sendSessions(running, sessions)
+	clientsDone := r.sendSessions(runCtx, sessions)
 	length := r.scenario.Length.D() + r.scenario.Settle.D()
 	select {
 	case <-time.After(max(length-r.now(), 0)):
@@ -160,12 +161,13 @@
 	clientsDone.Wait()
 	r.faultsRunning.Wait()
 	time.Sleep(2 * leeway)
-	r.judge.Check(r.now() + time.Hour) // what is still pending has had its time, or is over
+	r.judge.Check(r.now() + time.Hour) // makes all pending decisions: whatever could still be reported has ended
 	stopMonitor()
 	monitor.Wait()
 }
 
-// sendSessions runs a client for each session at its time. It returns after the last one's, with what waits for them.
+// sendSessions starts a client for each session at its time. It returns once the last one is started, with a wait group
+// for the clients that still run.
 func (r *rehearsal) sendSessions(ctx context.Context, sessions []trace.Session) *sync.WaitGroup {
 	times := make([]time.Duration, len(sessions))
 	for i, each := range sessions {
@@ -181,7 +183,7 @@
 	return &clients
 }
 
-// request is what the client of a scheduled session asks for.
+// request returns the client request for a scheduled session.
 func (s *Scenario) request(session trace.Session) client.Request {
 	l := s.Listeners[s.listenerIndex(session.Listener)]
 	timeout := l.DialTimeout.D()
@@ -210,7 +212,7 @@
 
 func fromMillis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// close ends all that a run has started.
+// close ends everything that the run has started.
 func (r *rehearsal) close() {
 	for i, p := range r.processes {
 		r.judge.ProxyDied(judge.ProxyID(i))
@@ -224,7 +226,7 @@
 	}
 }
 
-// addRunError notes a failure of the rehearsal itself.
+// addRunError records a failure of the rehearsal itself, which makes the run fail.
 func (r *rehearsal) addRunError(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -1,6 +1,7 @@
-// Package rehearse runs scenarios on a simulated platform: it reads a scenario, starts real proxies as processes of their
-// own, sends sessions at them on a fixed schedule, injects the faults, has the rules checked and reports. It serves the
-// commands rehearse, compare and load. The verdict rests on rules and counts; no latency is judged here.
+// Package rehearse runs scenarios on a simulated platform: it reads a scenario, starts real proxies as separate processes,
+// sends them sessions on a fixed schedule, injects the faults, checks the rules and writes a report. It implements the
+// commands rehearse, compare and load. The verdict depends on rules and counts only; latencies are reported, but do not
+// make a run fail.
 package rehearse
 
 import (
@@ -18,15 +19,16 @@
 //go:embed scenarios/*.toml
 var builtIn embed.FS
 
-// Scenario is a run as its file describes it. docs/rehearsal.md explains each key.
+// Scenario describes a run, as read from a scenario file. Fields without a tag are keys by their own names in lower case.
+// docs/rehearsal.md explains each key.
 type Scenario struct {
 	Name      string
 	About     string
 	Seed      int64
-	Length    strict.Span // in which arrivals and faults happen
-	Settle    strict.Span // for which sessions continue afterwards
-	LateBound strict.Span `toml:"late_bound"` // beyond which a send of the generator's counts as late
-	Window    strict.Span // of the report's curves
+	Length    strict.Span // the period in which arrivals and faults happen
+	Settle    strict.Span // the period after Length in which sessions continue
+	LateBound strict.Span `toml:"late_bound"` // delay beyond which a send of the load generator counts as late
+	Window    strict.Span // length of the windows by which the report's curves show latencies
 
 	Platform  Platform
 	Proxies   Proxies
@@ -38,72 +40,72 @@
 	Expect    Expect
 }
 
-// Platform is the nodes, their rules and discovery.
+// Platform describes the nodes, the platform's rules for them, and discovery.
 type Platform struct {
 	Nodes           int
 	Spare           int // further nodes, started by a fault "add"
 	Zones           []string
-	Cores           []float64   // each node has one of them
-	Speed           []float64   // least and most
-	SessionsPerCore float64     `toml:"sessions_per_core"`
-	MaxSessions     int         `toml:"most_sessions"`
-	GroupCost       float64     `toml:"group_cost"`
-	HandshakeWork   strict.Span `toml:"handshake_work"`
-	ColdFrom        float64     `toml:"cold_from"`
-	ColdSpan        strict.Span `toml:"cold_span"`
-	FallMultiple    float64     `toml:"fall_multiple"`
-	FallWindow      strict.Span `toml:"fall_window"`
-	DrainGrace      strict.Span `toml:"drain_grace"`
-	MustAsk         strict.Span `toml:"must_ask"`
-	ListLate        strict.Span `toml:"list_late"`
-	ReportsLoad     bool        `toml:"tells_load"`
-	ReportsDelay    bool        `toml:"tells_delay"`
-	Probes          bool
+	Cores           []float64   // cores of a node, one of these values by random choice
+	Speed           []float64   // lowest and highest speed of a core, relative to the reference core
+	SessionsPerCore float64     `toml:"sessions_per_core"` // average sessions that a reference core can serve
+	MaxSessions     int         `toml:"most_sessions"`     // of one node
+	GroupCost       float64     `toml:"group_cost"`        // of each group with a session on a node, in average sessions
+	HandshakeWork   strict.Span `toml:"handshake_work"`    // time that a handshake takes on a reference core
+	ColdFrom        float64     `toml:"cold_from"`         // share of its capacity that a node starts with
+	ColdSpan        strict.Span `toml:"cold_span"`         // after which a started node has full capacity
+	FallMultiple    float64     `toml:"fall_multiple"`     // a cold node fails if its demand exceeds this multiple of its capacity
+	FallWindow      strict.Span `toml:"fall_window"`       // for this long
+	DrainGrace      strict.Span `toml:"drain_grace"`       // for which a proxy may dial a node after it was sent the drain
+	MustAsk         strict.Span `toml:"must_ask"`          // longest allowed interval between a proxy's polls of discovery
+	ListLate        strict.Span `toml:"list_late"`         // delay until discovery publishes a change
+	ReportsLoad     bool        `toml:"tells_load"`        // nodes report the load of each session
+	ReportsDelay    bool        `toml:"tells_delay"`       // nodes report the delay of their messages
+	Probes          bool        // nodes answer health probes
 }
 
-// meanLoad is the load of an average session, in cores.
+// meanLoad returns the load of an average session, in cores.
 func (p *Platform) meanLoad() float64 { return 1 / p.SessionsPerCore }
 
-// Proxies are the processes under test, and their limits.
+// Proxies describes the processes under test and their limits.
 type Proxies struct {
 	Count          int
-	MemoryMB       int `toml:"memory_mb"`
-	Sockets        int
-	Pin            bool        // each to a core of its own
-	PassThrough    bool        `toml:"passes"` // sessions pass through and outlive them
-	DetectionDelay strict.Span `toml:"notice"` // until the front knows that one is dead
+	MemoryMB       int         `toml:"memory_mb"` // resident memory in MiB, beyond which one is killed
+	Sockets        int         // limit of file descriptors
+	Pin            bool        // bind each to a CPU of its own
+	PassThrough    bool        `toml:"passes"` // another proxy can resume the sessions of one that has stopped
+	DetectionDelay strict.Span `toml:"notice"` // until the front detects that one is dead
 	MaxDials       int         `toml:"dials"`  // for one session
 }
 
-// Clients are what all clients have in common.
+// Clients describes the behavior that all clients share.
 type Clients struct {
 	Retries      int
-	Backoff      strict.Span
-	Rejoin       []strict.Span // least and most
-	MessageEvery strict.Span   `toml:"message_every"`
-	Groups       int
-	Tenants      []string    `toml:"titles"`
-	ZoneSkew     float64     `toml:"zone_skew"` // 0 to 1: how much more the first zone has
-	LoadSpread   float64     `toml:"load_spread"`
-	LoadChanges  strict.Span `toml:"load_changes"`
+	Backoff      strict.Span   // before the first retry, doubled each time
+	Rejoin       []strict.Span // shortest and longest wait before a reconnect
+	MessageEvery strict.Span   `toml:"message_every"` // interval between a session's lines, 0 for no lines
+	Groups       int           // number of groups among which sessions are drawn, 0 for no groups
+	Tenants      []string      `toml:"titles"`
+	ZoneSkew     float64       `toml:"zone_skew"`    // 0 to 1: share of the clients put into the first zone; the others get a random one
+	LoadSpread   float64       `toml:"load_spread"`  // standard deviation of the logarithm of a session's load
+	LoadChanges  strict.Span   `toml:"load_changes"` // mean time between changes of a session's load, 0 for no changes
 }
 
-// Listener is one kind of session.
+// Listener describes one kind of session.
 type Listener struct {
 	Name            string
-	Share           float64
-	Load            float64     // in average sessions
+	Share           float64     // weight among the listeners
+	Load            float64     // mean, in average sessions
 	Lifetime        strict.Span `toml:"life"` // mean
 	HandshakeTarget strict.Span `toml:"handshake_target"`
 	DialTimeout     strict.Span `toml:"dial_timeout"`
 	MessageTarget   strict.Span `toml:"message_target"`
-	Utility         float64
-	Effect          string
-	Group           string
-	RepeatWindow    strict.Span `toml:"repeat_window"`
+	Utility         float64     // passed on to the proxies
+	Effect          string      // a judge.Effect
+	Group           string      // nodes that recognise repeats of a referenced session: "all", "zone" or "cell"
+	RepeatWindow    strict.Span `toml:"repeat_window"` // within which they recognise them
 }
 
-// Shapes of a stream of arrivals.
+// Values of Arrivals.Shape.
 const (
 	shapePoisson        = "poisson"
 	shapeSteady         = "steady"
@@ -112,36 +114,36 @@
 	shapeMunicipalities = "municipalities"
 )
 
-// Arrivals are one stream of sessions.
+// Arrivals describes one stream of arriving sessions.
 type Arrivals struct {
 	Shape    string
 	From     strict.Span
-	To       strict.Span
-	Rate     float64 // a second
-	ToRate   float64 `toml:"to_rate"`
-	Steps    int
-	Count    int         // of a burst, or of each municipality's
-	Half     strict.Span // in which half of a burst has come
-	Places   int         // municipalities that report
-	Listener string      // "" for all by their shares
+	To       strict.Span // 0 for the end of the scenario's length
+	Rate     float64     // sessions per second, at the start
+	ToRate   float64     `toml:"to_rate"` // sessions per second at the end, 0 for Rate
+	Steps    int         // number of steps between the two rates
+	Count    int         // sessions of a burst, or of each municipality
+	Half     strict.Span // in which half of a burst has arrived
+	Places   int         // number of municipalities
+	Listener string      // "" for a random listener by the shares
 }
 
-// Trace is a recorded run in place of arrivals.
+// Trace selects a recorded run that replaces the arrivals.
 type Trace struct {
-	File  string
-	Speed float64
-	Scale float64
+	File  string  // "" for none
+	Speed float64 // factor by which it is replayed faster
+	Scale float64 // factor by which the number of sessions is scaled
 }
 
-// Expect are counts that the run is held to beside the rules.
+// Expect lists requirements on counts that a run must meet beside the rules.
 type Expect struct {
-	MinAccepted float64 `toml:"accepted_least"` // share of sessions that were accepted at least once
-	NoCutOff    bool    `toml:"no_cut_off"`
+	MinAccepted float64 `toml:"accepted_least"` // least share of sessions that are accepted at least once
+	NoCutOff    bool    `toml:"no_cut_off"`     // no established session may be cut off
 }
 
-// BuiltIn names the scenarios that come with the program.
+// BuiltIn returns the names of the scenarios that are embedded in the program.
 func BuiltIn() []string {
-	entries, _ := builtIn.ReadDir("scenarios") // embedded: it can't fail
+	entries, _ := builtIn.ReadDir("scenarios") // can't fail: the folder is embedded
 	var names []string
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".toml"))
@@ -149,7 +151,7 @@
 	return names
 }
 
-// Load reads a scenario: a built-in one's name, or a file.
+// Load reads a built-in scenario by its name, or a scenario file.
 func Load(name string) (*Scenario, error) {
 	if slices.Contains(BuiltIn(), name) {
 		file := "scenarios/" + name + ".toml"
@@ -169,7 +171,7 @@
 	return Parse(name, text)
 }
 
-// Parse reads a scenario and checks it; what is wrong is a *strict.Error with the line.
+// Parse reads a scenario from the text of a file and validates it. An error in the text is a *strict.Error with its line.
 func Parse(file string, text []byte) (*Scenario, error) {
 	s := defaultScenario()
 	s.Name = strings.TrimSuffix(filepath.Base(file), ".toml")
@@ -180,7 +182,7 @@
 	return s, s.check(f)
 }
 
-// defaultScenario has the values of the keys that a file leaves out.
+// defaultScenario returns a scenario with the defaults of the keys that a file may leave out.
 func defaultScenario() *Scenario {
 	return &Scenario{
 		Seed:      1,
@@ -226,7 +228,8 @@
 	}
 }
 
-// Shorten gives the scenario another length; streams of arrivals that lasted to the end last to the new one.
+// Shorten changes the scenario's length. Streams of arrivals that lasted to the end, or would exceed the new length, end
+// with it. It fails if arrivals or a fault would lie outside the new length.
 func (s *Scenario) Shorten(length time.Duration) error {
 	previousLength := s.Length
 	s.Length = strict.Span(length)
@@ -236,7 +239,7 @@
 			a.To = s.Length
 		}
 		if a.From >= a.To {
-			return fmt.Errorf("arrivals %d begin at %v, after a length of %v", i, a.From, length)
+			return fmt.Errorf("arrivals[%d] begin at %v, not within a length of %v", i, a.From, length)
 		}
 	}
 	for _, f := range s.Faults {
@@ -247,13 +250,13 @@
 	return nil
 }
 
-// SetRate replaces all arrivals by one stream of so many a second, at random.
+// SetRate replaces all arrivals by one Poisson stream of the given rate per second, and drops the expected counts.
 func (s *Scenario) SetRate(rate float64) {
 	s.Arrivals = []Arrivals{{Shape: shapePoisson, To: s.Length, Rate: rate, ToRate: rate}}
 	s.Expect = Expect{}
 }
 
-// Replay replaces all arrivals by a trace.
+// Replay replaces all arrivals by a trace, and drops the expected counts. It reads the trace once to check it.
 func (s *Scenario) Replay(file string, speed, scale float64) error {
 	if speed < 1 || speed > 100 || scale <= 0 {
 		return fmt.Errorf("a trace is replayed at 1 to 100 times its speed and at a scale above 0, not %g and %g", speed, scale)
--- a/internal/rehearse/schedule.go
+++ b/internal/rehearse/schedule.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// firstGroup is the lowest of the names of groups, which are hexadecimal numbers.
+	// firstGroup is the name of the first group, as a number. Names of groups are hexadecimal numbers.
 	firstGroup = 0x5c00
-	// reportingShare is the part of a stream's time in which municipalities report, so that their crowds come within it.
+	// reportingShare is the first part of a stream's time, in which all municipalities report. The rest leaves time for
+	// the readers of the last ones.
 	reportingShare = 0.8
-	// traceScaleSpread is how much later a scaled trace's copies may come.
+	// traceScaleSpread is the largest delay of a session that is copied to scale up a trace.
 	traceScaleSpread = time.Second
 )
 
-// Schedule is all that will arrive, the same for the same scenario and seed.
+// Schedule returns all sessions of a run, ordered by arrival. It depends only on the scenario, its seed and its trace.
 func (s *Scenario) Schedule() ([]trace.Session, error) {
 	rng := rand.New(rand.NewSource(s.Seed))
 	if s.Trace.File != "" {
@@ -33,7 +34,7 @@
 	return trace.Merge(all...), nil
 }
 
-// traceSchedule reads the scenario's trace.
+// traceSchedule reads, scales and speeds up the scenario's trace, and fills in what its sessions leave open.
 func (s *Scenario) traceSchedule(rng *rand.Rand) ([]trace.Session, error) {
 	file, err := os.Open(s.Trace.File)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return sessions, nil
 }
 
-// streamSchedule draws one stream; municipalities have one schedule each.
+// streamSchedule draws the sessions of one stream, as one schedule or one for each municipality.
 func (s *Scenario) streamSchedule(a Arrivals, rng *rand.Rand) [][]trace.Session {
 	from, to := a.From.D(), a.To.D()
 	var times []time.Duration
@@ -76,7 +77,7 @@
 	return [][]trace.Session{s.sessionsAt(times, a.Listener, "", rng)}
 }
 
-// municipalities each report at a time of their own, and their readers, a group each, come together.
+// municipalities draws a reporting time for each municipality and a burst of its readers, who form a group, at that time.
 func (s *Scenario) municipalities(a Arrivals, rng *rand.Rand) [][]trace.Session {
 	from, to := a.From.D(), a.To.D()
 	var all [][]trace.Session
@@ -88,7 +89,7 @@
 	return all
 }
 
-// sessionsAt draws a session for each time. A listener or a group that is "" is drawn too.
+// sessionsAt draws a session for each time. If the listener or the group is "", it is drawn for each session.
 func (s *Scenario) sessionsAt(times []time.Duration, listener, group string, rng *rand.Rand) []trace.Session {
 	sessions := make([]trace.Session, len(times))
 	for i, arrivesAt := range times {
@@ -109,13 +110,13 @@
 	return sessions
 }
 
-// randomGroup draws a group; few groups have many of the sessions, after Zipf.
+// randomGroup draws a group from a Zipf-like distribution, in which a few groups have many of the sessions.
 func (s *Scenario) randomGroup(rng *rand.Rand) string {
 	n := int(math.Exp(rng.Float64()*math.Log(float64(s.Clients.Groups)+1))) - 1
 	return fmt.Sprintf("%x", firstGroup+min(n, s.Clients.Groups-1))
 }
 
-// randomListener draws a listener by the shares.
+// randomListener draws a listener according to the shares.
 func (s *Scenario) randomListener(rng *rand.Rand) string {
 	total := 0.0
 	for _, l := range s.Listeners {
@@ -130,14 +131,14 @@
 	return s.Listeners[len(s.Listeners)-1].Name
 }
 
-// fillDefaults draws what a session leaves open.
+// fillDefaults draws the lifetime, load and zone of a session that does not have them.
 func (s *Scenario) fillDefaults(session *trace.Session, rng *rand.Rand) {
 	l := s.Listeners[s.listenerIndex(session.Listener)]
 	if session.LifetimeMs == 0 {
 		session.LifetimeMs = rng.ExpFloat64() * float64(l.Lifetime) / float64(time.Millisecond)
 	}
 	if session.Load == 0 {
-		spread := s.Clients.LoadSpread // log-normal with a mean of the listener's load
+		spread := s.Clients.LoadSpread // log-normal, with the listener's load as its mean
 		session.Load = l.Load * math.Exp(spread*rng.NormFloat64()-spread*spread/2)
 	}
 	if session.Zone == "" {
@@ -145,7 +146,7 @@
 	}
 }
 
-// randomZone draws a zone, the first one more often by the skew.
+// randomZone draws a zone; the skew is the probability that the first one is taken without a draw.
 func (s *Scenario) randomZone(rng *rand.Rand) string {
 	zones := s.Platform.Zones
 	if rng.Float64() < s.Clients.ZoneSkew {
--- a/internal/rehearse/verdict.go
+++ b/internal/rehearse/verdict.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// evaluate gives the verdict: by rules and counts alone, not by latencies.
+// evaluate sets the reasons for which the run failed. Only rules and counts matter, not latencies.
 func (r *Report) evaluate(s *Scenario) {
 	r.Failed = []string{}
 	for _, rule := range slices.Sorted(maps.Keys(r.RuleCounts)) {
@@ -34,29 +34,30 @@
 	}
 	share := s.Expect.MinAccepted
 	if !r.Interrupted && float64(r.Clients.Served) < share*float64(r.Sessions) {
-		r.fail("%d of %d sessions were accepted, at least a share of %g was wanted", r.Clients.Served, r.Sessions, share)
+		r.fail("%d of %d sessions were accepted, want a share of %g or more", r.Clients.Served, r.Sessions, share)
 	}
 	if s.Expect.NoCutOff && r.Clients.CutOff > 0 {
 		r.fail("%d open sessions were cut off", r.Clients.CutOff)
 	}
 }
 
-// evaluateRehearsal looks for faults of the rehearsal's own, with which its result is worth nothing.
+// evaluateRehearsal checks for failures of the rehearsal itself, which make its result invalid.
 func (r *Report) evaluateRehearsal() {
 	if r.DescriptorShortages.Generator > 0 {
 		r.fail("the generator ran out of descriptors or ports %d times", r.DescriptorShortages.Generator)
 	}
 	if r.DescriptorShortages.Nodes > 0 {
-		r.fail("the stand-ins ran out of descriptors %d times", r.DescriptorShortages.Nodes)
+		r.fail("the simulated nodes ran out of descriptors %d times", r.DescriptorShortages.Nodes)
 	}
 	for _, text := range r.RunErrors {
 		r.fail("%s", text)
 	}
 }
 
+// fail adds a reason for which the run failed.
 func (r *Report) fail(format string, args ...any) {
 	r.Failed = append(r.Failed, fmt.Sprintf(format, args...))
 }
 
-// OK reports whether the proxies did what they had to, and the generator was in time.
+// OK reports whether the run passed and the load generator kept its schedule.
 func (r *Report) OK() bool { return len(r.Failed) == 0 && !r.Late }
--- a/internal/rehearse/wrapper_test.go
+++ b/internal/rehearse/wrapper_test.go
@@ -11,14 +11,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestWrapperIsKilled: the proxy behind a wrapper ends with the rehearsal, and with the wrapper.
+// TestWrapperIsKilled: if the proxy program is a wrapper script, the proxy that it starts must end when the rehearsal ends
+// and when the wrapper is killed.
 func TestWrapperIsKilled(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	folder := t.TempDir()
-	proxy, wrapper := filepath.Join(folder, "kind"), filepath.Join(folder, "wrapper")
+	proxy, wrapper := filepath.Join(folder, "correct"), filepath.Join(folder, "wrapper")
 	if err := os.Symlink(self, proxy); err != nil {
 		t.Fatal(err)
 	}
@@ -40,14 +41,14 @@
 			report <- r
 		}()
 		pids := waitForProxies(t, wrapperAndProxy)
-		time.Sleep(time.Second) // it is ready by then
+		time.Sleep(time.Second) // the proxy is ready by then
 		endWrapper(min(pids[0], pids[1]))
 		<-report
 		for deadline := time.Now().Add(time.Second); len(proxyPIDs(t)) > 0 && time.Now().Before(deadline); {
 			time.Sleep(10 * time.Millisecond)
 		}
 		for _, pid := range proxyPIDs(t) {
-			t.Errorf("%s: process %d goes on", name, pid)
+			t.Errorf("%s: process %d is still running", name, pid)
 			unix.Kill(pid, unix.SIGKILL)
 		}
 	}
--- a/internal/standin/judge/judge_test.go
+++ b/internal/standin/judge/judge_test.go
@@ -13,6 +13,7 @@
 	leeway = 50 * ms
 )
 
+// newTestJudge returns a judge for three nodes: two in zone a, one in zone b, each in a cell of its own.
 func newTestJudge() *Judge {
 	return New(leeway, time.Second, 4*time.Second, false, []Place{{"a", "1"}, {"a", "2"}, {"b", "3"}})
 }
--- a/internal/standin/list/list.go
+++ b/internal/standin/list/list.go
@@ -138,6 +138,7 @@
 // SetStale makes watches send complete lists of a lower revision, until it is called with false.
 func (l *List) SetStale(stale bool) { l.setBehavior(func() { l.stale = stale }) }
 
+// setBehavior applies a change under the lock and wakes all watches.
 func (l *List) setBehavior(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/node/conn.go
+++ b/internal/standin/node/conn.go
@@ -50,6 +50,7 @@
 	c.handleEnd()
 }
 
+// readLines handles lines until a read fails.
 func (c *conn) readLines() {
 	n := c.node
 	lines := bufio.NewReaderSize(c.conn, readBufferSize)
--- a/internal/standin/node/node_test.go
+++ b/internal/standin/node/node_test.go
@@ -88,11 +88,13 @@
 	}
 }
 
+// session is a connection to a node as a proxy has it.
 type session struct {
 	net.Conn
 	lines *bufio.Reader
 }
 
+// expect checks that the next line begins with a text.
 func (s session) expect(t *testing.T, want string) {
 	t.Helper()
 	s.SetReadDeadline(time.Now().Add(2 * time.Second))
--- a/internal/standin/udplink/udplink.go
+++ b/internal/standin/udplink/udplink.go
@@ -82,6 +82,7 @@
 // Send sends a packet made by the caller to the destination, even while the link is down.
 func (l *Link) Send(packet []byte) { l.conn.WriteToUDPAddrPort(packet, l.destination) }
 
+// relay relays packets until the connection is closed.
 func (l *Link) relay() {
 	buffer := make([]byte, maxPacketSize)
 	for {
