--- a/internal/rehearse/capacity.go
+++ b/internal/rehearse/capacity.go
@@ -10,14 +10,14 @@
 
 // CapacityStep is the result of one rate in a search for the capacity.
 type CapacityStep struct {
-	Rate     float64      `json:"rate"` // sessions per second
-	Connects load.Summary `json:"connect_ms"`
-	Messages load.Summary `json:"message_ms"`
-	CPU      float64      `json:"cpu"` // mean usage of all proxies, in cores
-	Refused  int64        `json:"refused"`
-	Late     bool         `json:"late"` // the load generator was late
-	Failed   []string     `json:"failed"`
-	Unbound  string       `json:"unbound,omitempty"` // why the proxies had no processors of their own
+	Rate       float64      `json:"rate"` // sessions per second
+	Handshakes load.Summary `json:"connect_ms"`
+	Messages   load.Summary `json:"message_ms"`
+	CPU        float64      `json:"cpu"` // mean usage of all proxies, in cores
+	Refused    int64        `json:"refused"`
+	Late       bool         `json:"late"` // the load generator was late
+	Failed     []string     `json:"failed"`
+	Unbound    string       `json:"unbound,omitempty"` // why the proxies had no processors of their own
 }
 
 // CapacitySearch is the result of a search for the highest rate that the proxies sustain.
@@ -52,7 +52,7 @@
 		}
 		c.Steps = append(c.Steps, capacityStep(s, rate, report))
 		printStep(out, c.Steps[len(c.Steps)-1], report)
-		firstP99 := c.Steps[0].Connects.P99
+		firstP99 := c.Steps[0].Handshakes.P99
 		switch {
 		case report.Late:
 			c.StopReason = "the generator was late"
@@ -84,14 +84,14 @@
 func capacityStep(s *Scenario, rate float64, r *Report) CapacityStep {
 	length := (s.Length + s.Settle).D()
 	return CapacityStep{
-		Rate:     rate,
-		Connects: r.Handshakes,
-		Messages: r.Messages,
-		CPU:      r.cpuSeconds() / length.Seconds(),
-		Refused:  r.Clients.Refused,
-		Late:     r.Late,
-		Failed:   r.Failed,
-		Unbound:  r.Unbound,
+		Rate:       rate,
+		Handshakes: r.Handshakes,
+		Messages:   r.Messages,
+		CPU:        r.cpuSeconds() / length.Seconds(),
+		Refused:    r.Clients.Refused,
+		Late:       r.Late,
+		Failed:     r.Failed,
+		Unbound:    r.Unbound,
 	}
 }
 
--- a/internal/standin/client/client.go
+++ b/internal/standin/client/client.go
@@ -64,13 +64,13 @@
 
 // Clients runs all clients of a run. It is safe for concurrent use.
 type Clients struct {
-	now      func() time.Duration
-	judge    *judge.Judge
-	front    *front.Front
-	behavior Behavior
-	Connects *load.Recorder // handshakes, from the scheduled time to UP
-	Messages *load.Recorder // lines, from the scheduled time to the echo
-	Lateness *load.Lateness // of attempts and lines against their scheduled times
+	now        func() time.Duration
+	judge      *judge.Judge
+	front      *front.Front
+	behavior   Behavior
+	Handshakes *load.Recorder // handshakes, from the scheduled time to UP
+	Messages   *load.Recorder // lines, from the scheduled time to the echo
+	Lateness   *load.Lateness // of attempts and lines against their scheduled times
 	// ProxyGone reports whether a proxy was killed or is leaving. It must be set if sessions pass through proxies.
 	ProxyGone func(judge.ProxyID) bool
 
@@ -101,7 +101,7 @@
 		behavior:    b,
 		rand:        rng,
 		idSalt:      rng.Uint64(),
-		Connects:    load.NewRecorder(window),
+		Handshakes:  load.NewRecorder(window),
 		Messages:    load.NewRecorder(window),
 		Lateness:    load.NewLateness(lateBound),
 		plans:       map[judge.SessionID]*plan{},
--- a/internal/standin/client/session.go
+++ b/internal/standin/client/session.go
@@ -115,7 +115,7 @@
 func (s *session) recordAccepted(now, intended time.Duration, receipt string) {
 	c := s.clients
 	c.judge.Answered(now, s.id, judge.Accepted, receipt)
-	c.Connects.Record(intended, now-intended)
+	c.Handshakes.Record(intended, now-intended)
 	c.count(&c.counts.Accepted)
 	if !s.served {
 		s.served = true
