--- a/internal/rehearse/verdict.go
+++ b/internal/rehearse/verdict.go
@@ -47,7 +47,7 @@
 		r.fail("the generator ran out of descriptors or ports %d times", r.DescriptorShortages.Generator)
 	}
 	if r.DescriptorShortages.Nodes > 0 {
-		r.fail("the simulated nodes ran out of descriptors %d times", r.DescriptorShortages.Nodes)
+		r.fail("the stand-ins ran out of descriptors %d times", r.DescriptorShortages.Nodes)
 	}
 	for _, text := range r.RunErrors {
 		r.fail("%s", text)
