--- a/internal/fleet/health_reports_test.go
+++ b/internal/fleet/health_reports_test.go
@@ -139,3 +139,18 @@
 		}
 	}
 }
+
+// TestLostDrainReport: a drain report that is lost on its way arrives when the reporter sends its reports again.
+func TestLostDrainReport(t *testing.T) {
+	all := newReportCollections(t, 2)
+	reporter, receiver := all[0], all[1]
+	if _, ok := reporter.Observe(0, 7, Draining, 1, false); !ok { // its message is lost
+		t.Fatal("the observation returns no report")
+	}
+	for _, report := range reporter.Retransmit(sec, 10) {
+		receiver.Receive(sec, report)
+	}
+	if a := receiver.Assess(sec, 7, Draining, 2); a.Confidence != 1 {
+		t.Errorf("after the reporter sent all its reports again: %+v, want confidence 1", a)
+	}
+}
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -314,3 +314,15 @@
 		t.Fatalf("values of 0: %+v, want noise and no pairs", none)
 	}
 }
+
+// TestNaNShareIsRefused: a share that is not a number is refused; comparisons with NaN are all false.
+func TestNaNShareIsRefused(t *testing.T) {
+	valid := fmt.Sprintf(smallScenarioTemplate, "3s", "", "repeatable", "")
+	text := strings.Replace(valid, "share = 1.0", "share = nan", 1)
+	if text == valid {
+		t.Fatal("the scenario has no share to replace")
+	}
+	if _, err := Parse("bad.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), "share") {
+		t.Errorf("error %v, want one on the share", err)
+	}
+}
--- a/internal/strict/strict_test.go
+++ b/internal/strict/strict_test.go
@@ -46,3 +46,10 @@
 		}
 	}
 }
+
+// TestBareNumberIsNoSpan: a duration without a unit is refused with its line, not taken for nanoseconds.
+func TestBareNumberIsNoSpan(t *testing.T) {
+	if _, err := Parse("a.toml", []byte("[[fault]]\nat = 5\n"), new(file)); err == nil || !strings.HasPrefix(err.Error(), "a.toml:2: ") {
+		t.Errorf("error %v, want prefix %q", err, "a.toml:2: ")
+	}
+}
