--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,6 +1,6 @@
-// Package asynclog writes log lines from a goroutine of its own, so that a reader that is slow, stops or has gone holds up
-// nobody who logs. Lines that find the queue full are dropped, the oldest first, and counted in a line of their own once
-// there is room. The queue is zerolog's diode.
+// Package asynclog writes log lines from a separate goroutine, so that a reader of the log that is slow, blocked or gone never
+// blocks the code that logs. When the queue is full, the oldest lines are dropped; their number is written as a line of its
+// own once there is room. The queue is zerolog's diode.
 package asynclog
 
 import (
@@ -13,32 +13,32 @@
 	"github.com/rs/zerolog/diode"
 )
 
-// queueLines is how many lines wait at most.
+// queueLines is the capacity of the queue in lines.
 const queueLines = 4096
 
-// Writer is a destination of log lines that never blocks.
+// Writer is an io.Writer for log lines whose Write never blocks.
 type Writer struct {
-	queue diode.Writer
-	to    *counted
+	queue       diode.Writer
+	destination *countingWriter
 }
 
-// counted writes lines, and before them what was dropped.
-type counted struct {
-	to      io.Writer
-	dropped int  // of the writing goroutine
-	isTorn  bool // the last write ended within a line
+// countingWriter writes lines, and before the next line the number of lines that were dropped.
+type countingWriter struct {
+	output         io.Writer
+	dropped        int  // lines not reported yet; used by the writing goroutine only
+	lineUnfinished bool // the last write failed in the middle of a line
 }
 
-// New makes a writer of lines to another. Failed writes are not repeated: the line is lost.
-func New(to io.Writer) *Writer {
-	destination := &counted{to: to}
-	// The alert comes from the goroutine that writes, before the next line.
+// New makes a Writer that passes lines on to output. A failed write is not repeated: the line is lost.
+func New(output io.Writer) *Writer {
+	destination := &countingWriter{output: output}
+	// The diode reports dropped lines on the goroutine that writes, before the next line.
 	return &Writer{queue: diode.NewWriter(destination, queueLines, 0, func(missed int) { destination.dropped += missed }),
-		to: destination}
+		destination: destination}
 }
 
-// Logger makes a logger that writes here, and has the standard library's default logger write here, too: the queue and
-// net/http use that one, and standard error may be the same pipe that nobody reads.
+// Logger makes a logger that writes here. It also redirects the standard library's default logger here: the diode and net/http
+// use that one, and standard error may be the same pipe that nobody reads.
 func (w *Writer) Logger(level zerolog.Level) zerolog.Logger {
 	log := zerolog.New(w).Level(level).With().Timestamp().Logger()
 	stdlog.SetFlags(0)
@@ -46,10 +46,10 @@
 	return log
 }
 
-// Write queues one line.
+// Write queues one line without blocking.
 func (w *Writer) Write(line []byte) (int, error) { return w.queue.Write(line) }
 
-// Close writes what waits, for as long as the limit at most.
+// Close writes the queued lines and waits for that until the limit at most.
 func (w *Writer) Close(limit time.Duration) {
 	written := make(chan struct{})
 	go func() {
@@ -62,17 +62,18 @@
 	}
 }
 
-func (c *counted) Write(line []byte) (int, error) {
+// Write writes one line. It starts a new line first if the last write failed in the middle of one.
+func (c *countingWriter) Write(line []byte) (int, error) {
 	if c.dropped > 0 {
-		if _, err := fmt.Fprintf(c.to, "{\"level\":\"warn\",\"dropped\":%d,\"message\":\"log lines were dropped\"}\n",
+		if _, err := fmt.Fprintf(c.output, "{\"level\":\"warn\",\"dropped\":%d,\"message\":\"log lines were dropped\"}\n",
 			c.dropped); err == nil {
 			c.dropped = 0
 		}
 	}
-	if c.isTorn {
+	if c.lineUnfinished {
 		line = append([]byte{'\n'}, line...)
 	}
-	n, err := c.to.Write(line)
-	c.isTorn = err != nil && (n > 0 || c.isTorn)
+	n, err := c.output.Write(line)
+	c.lineUnfinished = err != nil && (n > 0 || c.lineUnfinished)
 	return n, err
 }
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// gate is a destination that waits until it is opened, and may then fail.
-type gate struct {
+// blockedWriter is a destination whose writes block until it is opened, and then may fail.
+type blockedWriter struct {
 	opened chan struct{}
 	text   bytes.Buffer
 	err    error
 }
 
-func (g *gate) Write(line []byte) (int, error) {
+func (g *blockedWriter) Write(line []byte) (int, error) {
 	<-g.opened
 	if g.err != nil {
 		return 0, g.err
@@ -24,10 +24,10 @@
 	return g.text.Write(line)
 }
 
-// TestBlockedReader: a destination that waits holds nobody up; later there are the newest lines, and the number of those
-// that were dropped.
+// TestBlockedReader checks that a blocked destination blocks neither Write nor Close, and that once it is unblocked the newest
+// lines and the number of dropped ones are written.
 func TestBlockedReader(t *testing.T) {
-	g := &gate{opened: make(chan struct{})}
+	g := &blockedWriter{opened: make(chan struct{})}
 	w := New(g)
 	const lines = 3 * queueLines
 	done := make(chan struct{})
@@ -40,32 +40,32 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a write waits for the reader")
+		t.Fatal("Write blocks while the destination does")
 	}
 	began := time.Now()
 	w.Close(50 * time.Millisecond)
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("Close takes %v", took)
+		t.Errorf("Close takes %v with a limit of 50ms", took)
 	}
 	close(g.opened)
 	w.Close(10 * time.Second)
 	text := g.text.String()
 	if !strings.HasSuffix(text, fmt.Sprintf("line %d\n", lines-1)) {
-		t.Errorf("the last line is not there: %q", text[max(len(text)-60, 0):])
+		t.Errorf("the output does not end with the last line: %q", text[max(len(text)-60, 0):])
 	}
 	if !strings.Contains(text, "log lines were dropped") {
-		t.Error("no line says that lines were dropped")
+		t.Error("no line reports that lines were dropped")
 	}
 }
 
-// TestFailedWrite: a write that fails loses its line and no more.
+// TestFailedWrite checks that a failed write loses its line and does not block Close.
 func TestFailedWrite(t *testing.T) {
-	g := &gate{opened: make(chan struct{}), err: errors.New("no space")}
+	g := &blockedWriter{opened: make(chan struct{}), err: errors.New("no space")}
 	close(g.opened)
 	w := New(g)
 	fmt.Fprintln(w, "lost")
 	w.Close(5 * time.Second)
 	if g.text.Len() > 0 {
-		t.Errorf("%q", g.text.String())
+		t.Errorf("output %q after a failed write, want none", g.text.String())
 	}
 }
