--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -119,7 +119,7 @@
 		cold      choice.ColdSettings
 		messages  choice.PeerReportSettings
 	)
-	if err := start.Module(settings, &listeners, &dials, &budget, &list, &cold, &messages); err != nil {
+	if err := start.ParseBalancer(settings, &listeners, &dials, &budget, &list, &cold, &messages); err != nil {
 		return err
 	}
 	rng := rand.New(rand.NewSource(int64(seed)))
--- a/internal/proxy/boot_test.go
+++ b/internal/proxy/boot_test.go
@@ -14,10 +14,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootedAt starts a proxy at an address, with a discovery that nobody serves.
-func bootedAt(t *testing.T, address string) (p *Proxy, ended chan error) {
+// startWithoutDiscovery starts a proxy at an address; nothing listens at its discovery address.
+func startWithoutDiscovery(t *testing.T, address string) (p *Proxy, ended chan error) {
 	t.Helper()
-	p, err := New(fmt.Appendf(nil, configuration, address, free(t), 256), zerolog.Nop())
+	p, err := New(fmt.Appendf(nil, configuration, address, freeAddress(t), 256), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,12 +34,12 @@
 	case err := <-ended:
 		t.Fatalf("Run ends with %v", err)
 	case <-time.After(5 * time.Second):
-		t.Fatal("the loop does not run")
+		t.Fatal("the event loop does not run within 5 s")
 	}
 	t.Cleanup(p.stopLoop)
 }
 
-// sharedListener listens as a proxy does: others may listen at the same address.
+// sharedListener listens as a proxy does, with SO_REUSEPORT, so that others may listen at the same address.
 func sharedListener(t *testing.T, address string) net.Listener {
 	t.Helper()
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
@@ -54,12 +54,12 @@
 	return l
 }
 
-// TestStartsWithoutConnection: the event loop runs and all that is begun with it has begun before any connection has come,
-// also where another process listens at the same address, which may get whatever comes.
+// TestStartsWithoutConnection checks that the event loop runs and the balancer exists before any connection arrives, also
+// when another process listens at the same address and may get all connections.
 func TestStartsWithoutConnection(t *testing.T) {
 	for name, isShared := range map[string]bool{"alone": false, "another process at the address": true} {
 		t.Run(name, func(t *testing.T) {
-			address := free(t)
+			address := freeAddress(t)
 			var accepted chan net.Conn
 			if isShared {
 				l := sharedListener(t, address)
@@ -74,40 +74,40 @@
 					}
 				}()
 			}
-			p, ended := bootedAt(t, address)
+			p, ended := startWithoutDiscovery(t, address)
 			awaitLoop(t, p, ended)
-			var came bool
+			var unexpected bool
 			ran := make(chan struct{})
 			p.execute(func() {
-				came = p.came || p.balancer == nil
+				unexpected = p.connectionArrived || p.balancer == nil
 				close(ran)
 			})
 			<-ran
-			if came {
-				t.Error("a connection has come, or the balancer is not made")
+			if unexpected {
+				t.Error("a connection has arrived, or there is no balancer")
 			}
 			select {
 			case <-accepted:
-				t.Error("the proxy has connected to its own address")
+				t.Error("the proxy connects to its own address")
 			case err := <-ended:
 				t.Errorf("Run ends with %v", err)
 			case <-time.After(200 * time.Millisecond):
 			}
 			if !isShared {
-				connect(t, address).say("PING\r\n", "PONG\r\n")
+				connect(t, address).sendAndExpect("PING\r\n", "PONG\r\n")
 			}
 		})
 	}
 }
 
-// TestListenerFails: a proxy whose address is another's has no listener; that is an error of Run at once, which leaves the
-// process alone and nothing open.
+// TestListenerFails checks that Run returns EADDRINUSE at once if another process has the proxy's address, without ending the
+// process or leaving a socket open.
 func TestListenerFails(t *testing.T) {
-	other, err := net.Listen("tcp", free(t))
+	other, err := net.Listen("tcp", freeAddress(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, ended := bootedAt(t, other.Addr().String())
+	_, ended := startWithoutDiscovery(t, other.Addr().String())
 	select {
 	case err := <-ended:
 		if !errors.Is(err, syscall.EADDRINUSE) {
@@ -121,7 +121,7 @@
 	if conn, err := net.Dial("tcp", address); err == nil {
 		conn.SetDeadline(time.Now().Add(time.Second))
 		if _, err := io.ReadAll(conn); err == nil {
-			t.Error("a client is still let in")
+			t.Error("the proxy's address still accepts clients")
 		}
 		conn.Close()
 	}
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -6,50 +6,51 @@
 	"chalkferry/internal/socket"
 )
 
-// OnOpen takes a connection over: one to a server that was connected to, or a client's.
+// OnOpen handles a new connection on the event loop: one that was made to a server, or one accepted from a client.
 func (p *Proxy) OnOpen(conn *eventloop.Conn) {
-	p.enter()
-	defer p.leave()
+	p.beginEvent()
+	defer p.endEvent()
 	if opener, ok := conn.Context().(servers.Opener); ok {
 		opener.Open(conn)
 		return
 	}
-	p.came = true
+	p.connectionArrived = true
 	client := p.clients.New()
 	c := p.take(conn, client)
 	client.Serve(c)
 	client.Admit()
 }
 
+// take wraps a connection of the event loop for its owner and counts its descriptor.
 func (p *Proxy) take(conn *eventloop.Conn, owner socket.Owner) *socket.Conn {
 	p.connectionLimit.Take(1)
-	c := socket.New(conn, owner, p.connectionLimit, p.timers, p.later, p.linger(), maxUnsentBytes)
+	c := socket.New(conn, owner, p.connectionLimit, p.timers, p.afterEvent, p.lingerTimeout(), maxUnsentBytes)
 	conn.SetContext(c)
 	return c
 }
 
-// OnTraffic reads what has come.
+// OnTraffic handles received bytes.
 func (p *Proxy) OnTraffic(conn *eventloop.Conn) {
-	p.enter()
-	defer p.leave()
+	p.beginEvent()
+	defer p.endEvent()
 	if c, ok := conn.Context().(*socket.Conn); ok {
 		c.Traffic()
 	}
 }
 
-// OnBroken tells the owner of a connection that is broken.
+// OnBroken reports an I/O error to the owner of the connection.
 func (p *Proxy) OnBroken(conn *eventloop.Conn, err error) {
-	p.enter()
-	defer p.leave()
+	p.beginEvent()
+	defer p.endEvent()
 	if c, ok := conn.Context().(*socket.Conn); ok {
 		c.Failed(err)
 	}
 }
 
-// OnClose tells the owner of a connection that has ended.
+// OnClose reports the end of a connection to its owner.
 func (p *Proxy) OnClose(conn *eventloop.Conn, err error) {
-	p.enter()
-	defer p.leave()
+	p.beginEvent()
+	defer p.endEvent()
 	if c, ok := conn.Context().(*socket.Conn); ok {
 		c.Closed(err)
 	}
--- a/internal/proxy/directory.go
+++ b/internal/proxy/directory.go
@@ -13,166 +13,171 @@
 	"chalkferry/internal/discovery"
 )
 
-// directory knows the servers as listed last, by ids that are the same at every proxy.
+// directory holds the servers of the current list and those that have left it, by IDs that are the same at every proxy. It
+// implements servers.Directory. It is used on the event loop only.
 type directory struct {
-	zones   map[string]choice.ZoneID // as they came, of the settings first
-	clock   startClock
-	ids     map[string]choice.ServerID
-	servers map[choice.ServerID]*place
-	entries []choice.Entry
-	models  map[string]choice.ModelID // as they came, where models are told apart
-	apart   bool
-	// drainsAlone: what is gone, or left out, without having drained may still be dialed.
-	drainsAlone bool
+	zones       map[string]choice.ZoneID // numbered in order of first sight, those that the settings name first
+	clock       startClock
+	ids         map[string]choice.ServerID
+	servers     map[choice.ServerID]*listedServer
+	entries     []choice.Entry
+	models      map[string]choice.ModelID // numbered from 1 in order of first sight; filled only with learnModels
+	learnModels bool
+	// onlyDrainsExclude lets a server that has left the list without draining still be dialed.
+	onlyDrainsExclude bool
 }
 
-type place struct {
+// listedServer is what the lists have said of one server.
+type listedServer struct {
 	name, address string
-	standing      choice.ServerStatus
-	drained       bool          // before it was gone
-	upSinceMs     float64       // its latest start, as listed
-	since         time.Duration // the same, by the proxy's clock
+	status        choice.ServerStatus
+	drained       bool          // it drains, or did when it left the list
+	upSinceMs     float64       // its latest start as listed, in milliseconds of Unix time; 0 if unknown
+	startedAt     time.Duration // the same start by the proxy's monotonic clock
 	edition       int
 }
 
-func newDirectory(zones map[string]choice.ZoneID, clock startClock, drainsAlone, apart bool) *directory {
+func newDirectory(zones map[string]choice.ZoneID, clock startClock, onlyDrainsExclude, learnModels bool) *directory {
 	d := &directory{zones: map[string]choice.ZoneID{}, clock: clock, ids: map[string]choice.ServerID{},
-		servers: map[choice.ServerID]*place{}, models: map[string]choice.ModelID{}}
-	d.change(zones, drainsAlone, apart)
+		servers: map[choice.ServerID]*listedServer{}, models: map[string]choice.ModelID{}}
+	d.applySettings(zones, onlyDrainsExclude, learnModels)
 	return d
 }
 
-// change takes what other settings say. A zone keeps the id that it got first, as servers stand under it.
-func (d *directory) change(zones map[string]choice.ZoneID, drainsAlone, apart bool) {
+// applySettings takes over new settings. A zone keeps the ID that it got first, because listed servers refer to it.
+func (d *directory) applySettings(zones map[string]choice.ZoneID, onlyDrainsExclude, learnModels bool) {
 	for _, name := range slices.SortedFunc(maps.Keys(zones), func(a, b string) int { return cmp.Compare(zones[a], zones[b]) }) {
 		if _, known := d.zones[name]; !known {
 			d.zones[name] = choice.ZoneID(len(d.zones))
 		}
 	}
-	d.drainsAlone, d.apart = drainsAlone, apart
+	d.onlyDrainsExclude, d.learnModels = onlyDrainsExclude, learnModels
 }
 
-// id of a server: a hash of its name. Where two names meet, the one that came later is hashed on; of one list
-// they come in the order of their names, so that proxies agree.
-func (d *directory) id(name string) choice.ServerID {
+// serverID returns the ID of a server: a hash of its name. On a collision the name seen later is extended and hashed
+// again; names of one list are handled in sorted order, so that all proxies get the same IDs.
+func (d *directory) serverID(name string) choice.ServerID {
 	if id, known := d.ids[name]; known {
 		return id
 	}
-	h := fnv.New32a()
-	h.Write([]byte(name))
-	id := choice.ServerID(h.Sum32())
+	hash := fnv.New32a()
+	hash.Write([]byte(name))
+	id := choice.ServerID(hash.Sum32())
 	for id == 0 || d.servers[id] != nil {
-		h.Write([]byte{'+'})
-		id = choice.ServerID(h.Sum32())
+		hash.Write([]byte{'+'})
+		id = choice.ServerID(hash.Sum32())
 	}
 	d.ids[name] = id
-	d.servers[id] = &place{name: name}
+	d.servers[id] = &listedServer{name: name}
 	return id
 }
 
-// entriesOf turns a list into what the module takes; they are good until the next call.
+// entriesOf records a list and converts it into entries for the balancer. It sorts list.Servers; the result is valid until
+// the next call.
 func (d *directory) entriesOf(list discovery.List) []choice.Entry {
 	if list.Complete {
-		for _, p := range d.servers {
-			p.standing = choice.Gone
+		for _, server := range d.servers {
+			server.status = choice.Gone
 		}
 	}
-	d.clock.begin()
+	d.clock.beginList()
 	slices.SortFunc(list.Servers, func(a, b discovery.Server) int { return cmp.Compare(a.ID, b.ID) })
 	d.entries = d.entries[:0]
-	for _, s := range list.Servers {
-		id := d.id(s.ID)
-		if _, known := d.models[s.Model]; !known && d.apart {
-			d.models[s.Model] = choice.ModelID(len(d.models) + 1)
+	for _, server := range list.Servers {
+		id := d.serverID(server.ID)
+		if _, known := d.models[server.Model]; !known && d.learnModels {
+			d.models[server.Model] = choice.ModelID(len(d.models) + 1)
 		}
-		if _, known := d.zones[s.Zone]; !known { // the settings may not name all: it is a zone of its own all the same
-			d.zones[s.Zone] = choice.ZoneID(len(d.zones))
+		if _, known := d.zones[server.Zone]; !known { // a zone that the settings do not name still gets an ID of its own
+			d.zones[server.Zone] = choice.ZoneID(len(d.zones))
 		}
-		e := choice.Entry{ID: id, Size: s.Size, Zone: d.zones[s.Zone], Cell: choice.CellID(s.Cell)}
-		if d.apart {
-			e.Model = d.models[s.Model]
+		entry := choice.Entry{ID: id, Size: server.Size, Zone: d.zones[server.Zone], Cell: choice.CellID(server.Cell)}
+		if d.learnModels {
+			entry.Model = d.models[server.Model]
 		}
-		switch s.Phase {
+		switch server.Phase {
 		case discovery.Ready:
-			e.Status = choice.Ready
+			entry.Status = choice.Ready
 		case discovery.Draining:
-			e.Status = choice.Draining
+			entry.Status = choice.Draining
 		}
-		p := d.servers[id]
-		p.standing = e.Status
-		p.drained = e.Status == choice.Draining || p.drained && e.Status == choice.Gone
-		if s.HostPort != "" && s.HostPort != p.address || s.UpSinceMs > 0 && s.UpSinceMs != p.upSinceMs {
-			p.edition++
+		listed := d.servers[id]
+		listed.status = entry.Status
+		listed.drained = entry.Status == choice.Draining || listed.drained && entry.Status == choice.Gone
+		if server.HostPort != "" && server.HostPort != listed.address || server.UpSinceMs > 0 && server.UpSinceMs != listed.upSinceMs {
+			listed.edition++
 		}
-		if s.HostPort != "" {
-			p.address = s.HostPort
+		if server.HostPort != "" {
+			listed.address = server.HostPort
 		}
-		if s.UpSinceMs > 0 && s.UpSinceMs != p.upSinceMs { // it may be earlier, where all machines' clocks were stepped
-			p.upSinceMs, p.since = s.UpSinceMs, d.clock.since(s.UpSinceMs)
+		// Any change counts: the new start may be earlier, where the clocks of all machines were stepped.
+		if server.UpSinceMs > 0 && server.UpSinceMs != listed.upSinceMs {
+			listed.upSinceMs, listed.startedAt = server.UpSinceMs, d.clock.serverStart(server.UpSinceMs)
 		}
-		if s.UpSinceMs > 0 {
-			e.StartKnown, e.StartedAt = true, p.since
+		if server.UpSinceMs > 0 {
+			entry.StartKnown, entry.StartedAt = true, listed.startedAt
 		}
-		d.entries = append(d.entries, e)
+		d.entries = append(d.entries, entry)
 	}
 	return d.entries
 }
 
-// holder is the id of a server that has been listed, 0 for another.
-func (d *directory) holder(name []byte) choice.ServerID { return d.ids[string(name)] }
+// listedID is the ID of a server that has been listed, 0 for an unknown name.
+func (d *directory) listedID(name []byte) choice.ServerID { return d.ids[string(name)] }
 
-func (d *directory) Address(at choice.ServerID) (address, name string, known bool) {
-	if p := d.servers[at]; p != nil && p.address != "" {
-		return p.address, p.name, true
+// Address returns a server's address and name; known is false if no list gave an address.
+func (d *directory) Address(id choice.ServerID) (address, name string, known bool) {
+	if server := d.servers[id]; server != nil && server.address != "" {
+		return server.address, server.name, true
 	}
 	return "", "", false
 }
 
-// Edition is another number once the server is listed at another address, or as started anew.
-func (d *directory) Edition(at choice.ServerID) int {
-	if p := d.servers[at]; p != nil {
-		return p.edition
+// Edition is a number that changes whenever the server is listed with another address or another start time.
+func (d *directory) Edition(id choice.ServerID) int {
+	if server := d.servers[id]; server != nil {
+		return server.edition
 	}
 	return 0
 }
 
-// eachGone calls back with each server that was listed once and is no more, in any order.
-func (d *directory) eachGone(call func(choice.ServerID)) {
-	for id, p := range d.servers {
-		if p.standing == choice.Gone {
-			call(id)
+// eachGone visits each server that was listed and no longer is, in no particular order.
+func (d *directory) eachGone(visit func(choice.ServerID)) {
+	for id, server := range d.servers {
+		if server.status == choice.Gone {
+			visit(id)
 		}
 	}
 }
 
-// named puts the names of servers into a line of the module, which knows only their ids.
-func (d *directory) named(text string) string {
-	const word = "server "
-	at := strings.Index(text, word) + len(word)
-	if at < len(word) {
+// nameServers replaces the server ID in a log line of the balancer by the server's name; the balancer knows only IDs.
+func (d *directory) nameServers(text string) string {
+	const prefix = "server "
+	start := strings.Index(text, prefix) + len(prefix)
+	if start < len(prefix) {
 		return text
 	}
-	end := at
+	end := start
 	for end < len(text) && text[end] >= '0' && text[end] <= '9' {
 		end++
 	}
-	id, err := strconv.ParseUint(text[at:end], 10, 32)
+	id, err := strconv.ParseUint(text[start:end], 10, 32)
 	if err != nil || d.servers[choice.ServerID(id)] == nil {
 		return text
 	}
-	return text[:at] + d.servers[choice.ServerID(id)].name + text[end:]
+	return text[:start] + d.servers[choice.ServerID(id)].name + text[end:]
 }
 
-// Ready tells whether a first line may still go to a server, by the list as it is now.
-func (d *directory) Ready(at choice.ServerID) bool {
-	p := d.servers[at]
-	return p != nil && (p.standing == choice.Ready || d.drainsAlone && p.standing == choice.Gone && !p.drained)
+// Ready reports whether a session may still be sent to a server by the current list.
+func (d *directory) Ready(id choice.ServerID) bool {
+	server := d.servers[id]
+	return server != nil && (server.status == choice.Ready || d.onlyDrainsExclude && server.status == choice.Gone && !server.drained)
 }
 
-// count is how many servers are ready and how many drain.
-func (d *directory) count() (ready, draining int) {
-	for _, p := range d.servers {
-		switch p.standing {
+// countByStatus returns how many servers are ready and how many are draining.
+func (d *directory) countByStatus() (ready, draining int) {
+	for _, server := range d.servers {
+		switch server.status {
 		case choice.Ready:
 			ready++
 		case choice.Draining:
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -10,34 +10,34 @@
 	"chalkferry/internal/discovery"
 )
 
-// The ways in which a call to discovery may fail at once.
-var failedCalls = []func(c call){
-	func(c call) {
+// failedCalls are the ways in which a call to discovery may fail at once.
+var failedCalls = []func(c discoveryCall){
+	func(c discoveryCall) {
 		c.Conn.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	},
-	func(c call) { fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n") },
-	func(c call) { c.Close() },
-	func(c call) { c.opens("not a list") },
-	func(c call) { c.opens(entry(1, "127.0.0.1:1", "ready")) }, // older than the list at hand
+	func(c discoveryCall) { fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n") },
+	func(c discoveryCall) { c.Close() },
+	func(c discoveryCall) { c.sendFirstList("not a list") },
+	func(c discoveryCall) { c.sendFirstList(listWithOneServer(1, "127.0.0.1:1", "ready")) }, // older than the current list
 }
 
-// next waits for a call.
-func next(t *testing.T, calls <-chan call, within time.Duration) call {
+// nextCall waits for a call to discovery.
+func nextCall(t *testing.T, calls <-chan discoveryCall, timeout time.Duration) discoveryCall {
 	t.Helper()
 	select {
 	case c := <-calls:
 		return c
-	case <-time.After(within):
-		t.Fatalf("no call within %v", within)
-		return call{}
+	case <-time.After(timeout):
+		t.Fatalf("no call within %v", timeout)
+		return discoveryCall{}
 	}
 }
 
-// TestCallsAgainInTime: however many calls have failed, in whichever way, and however long the settings let a proxy not
-// ask, the next one comes early enough to have its answer within the time after which a change counts as known.
+// TestCallsAgainInTime checks that after any number and kind of failed calls, and with any poll interval of the settings, the
+// next call comes early enough to be answered within discovery.SilenceLimit, after which a change counts as known.
 func TestCallsAgainInTime(t *testing.T) {
-	for name, set := range map[string][]string{
+	for name, replacements := range map[string][]string{
 		"asked":        {`"mustAskIn":4000`, `"mustAskIn":120000`},
 		"asked often":  {},
 		"pushed":       {`"ask"`, `"push"`, `"mustAskIn":4000`, `"stopSendingWithin":60000`},
@@ -45,77 +45,77 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			address, calls := desk(t)
-			r := riggedAt(t, address, set...)
-			first := next(t, calls, time.Second)
-			first.opens(entry(2, "127.0.0.1:1", "ready"))
-			r.until("the list is known", func() bool { return r.p.revision == 2 })
+			address, calls := startManualDiscovery(t)
+			r := startTestProxyWithDiscovery(t, address, replacements...)
+			first := nextCall(t, calls, time.Second)
+			first.sendFirstList(listWithOneServer(2, "127.0.0.1:1", "ready"))
+			r.waitFor("the list is known", func() bool { return r.p.revision == 2 })
 			first.Close()
 			failed := time.Now()
 			for i, fail := range append(failedCalls, failedCalls[:2]...) {
-				c := next(t, calls, 20*time.Second)
-				if pause := c.at.Sub(failed); pause > discovery.StalenessLimit/2+300*time.Millisecond {
-					t.Errorf("call %d comes %v after the one before has failed", i, pause)
+				c := nextCall(t, calls, 20*time.Second)
+				if pause := c.receivedAt.Sub(failed); pause > discovery.StalenessLimit/2+300*time.Millisecond {
+					t.Errorf("call %d comes %v after the previous one failed", i, pause)
 				}
 				fail(c)
 				failed = time.Now()
 			}
-			next(t, calls, 20*time.Second).opens(entry(3, "127.0.0.1:1", "draining"))
-			r.until("the drain is known", func() bool { return r.p.revision == 3 })
+			nextCall(t, calls, 20*time.Second).sendFirstList(listWithOneServer(3, "127.0.0.1:1", "draining"))
+			r.waitFor("the drain is known", func() bool { return r.p.revision == 3 })
 			if took := time.Since(failed); took > discovery.StalenessLimit {
-				t.Errorf("the drain is known %v after discovery could be reached", took)
+				t.Errorf("the drain is known %v after discovery became reachable", took)
 			}
 		})
 	}
 }
 
-// TestCallWithNoAnswer: a call that is taken and never answered is given up early enough for the next one, which comes
-// with no pause.
+// TestCallWithNoAnswer checks that a call that is accepted and never answered is abandoned within discovery.SilenceLimit and
+// the next one follows without a pause.
 func TestCallWithNoAnswer(t *testing.T) {
-	for name, set := range map[string][]string{
+	for name, replacements := range map[string][]string{
 		"asked":  {`"mustAskIn":4000`, `"mustAskIn":120000`},
 		"pushed": {`"ask"`, `"push"`, `"mustAskIn":4000`, `"stopSendingWithin":60000`, `"dialTimeout":800`, `"dialTimeout":20000`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			address, calls := desk(t)
-			r := riggedAt(t, address, set...)
-			lost := next(t, calls, time.Second)
+			address, calls := startManualDiscovery(t)
+			r := startTestProxyWithDiscovery(t, address, replacements...)
+			unanswered := nextCall(t, calls, time.Second)
 			for i := range 2 {
-				again := next(t, calls, 10*time.Second)
-				if pause := again.at.Sub(lost.at); pause > discovery.StalenessLimit-500*time.Millisecond || pause < discovery.StalenessLimit/2 {
-					t.Errorf("call %d comes %v after the one before", i, pause)
+				again := nextCall(t, calls, 10*time.Second)
+				if pause := again.receivedAt.Sub(unanswered.receivedAt); pause > discovery.StalenessLimit-500*time.Millisecond || pause < discovery.StalenessLimit/2 {
+					t.Errorf("call %d comes %v after the previous one", i, pause)
 				}
-				lost = again
+				unanswered = again
 			}
-			lost.opens(entry(1, "127.0.0.1:1", "draining"))
-			r.until("the drain is known", func() bool { return r.p.revision == 1 })
+			unanswered.sendFirstList(listWithOneServer(1, "127.0.0.1:1", "draining"))
+			r.waitFor("the drain is known", func() bool { return r.p.revision == 1 })
 		})
 	}
 }
 
-// TestPausesFit: whatever the settings say, a connect that is not established and the longest pause after it leave time
-// for the next call.
+// TestPausesFit checks that for any settings a failed connect and the longest pause after it leave time for the next call
+// within discovery.SilenceLimit.
 func TestPausesFit(t *testing.T) {
 	_, settings, _ := strings.Cut(fmt.Sprintf(configuration, "127.0.0.1:1", "127.0.0.1:2", 256), `"settings":`)
 	settings = strings.TrimSuffix(settings, "}")
 	for _, mode := range []string{"ask", "push"} {
 		for _, connect := range []int{1, 150, 5000} {
-			for _, asking := range []int{200, 4000, 10000, 600000} {
+			for _, mustAskIn := range []int{200, 4000, 10000, 600000} {
 				text := strings.NewReplacer(`"ask"`, fmt.Sprintf("%q", mode), `"connectTimeout":100`, fmt.Sprintf(`"connectTimeout":%d`, connect),
-					`"mustAskIn":4000`, fmt.Sprintf(`"mustAskIn":%d,"stopSendingWithin":%d`, asking, asking)).Replace(settings)
-				terms, err := read([]byte(text))
+					`"mustAskIn":4000`, fmt.Sprintf(`"mustAskIn":%d,"stopSendingWithin":%d`, mustAskIn, mustAskIn)).Replace(settings)
+				parsed, err := parseSettings([]byte(text))
 				if err != nil {
 					t.Fatal(err)
 				}
-				if terms.list.MaxRetryBackoff <= 0 || terms.ask <= 0 || terms.answer <= 0 {
-					t.Errorf("%s, connects of %d ms, asking in %d ms: %+v", mode, connect, asking, terms.list)
+				if parsed.list.MaxRetryBackoff <= 0 || parsed.discoveryConnectTimeout <= 0 || parsed.watchAnswerTimeout <= 0 {
+					t.Errorf("%s, connectTimeout %d ms, mustAskIn %d ms: %+v", mode, connect, mustAskIn, parsed.list)
 				}
-				if spent := terms.ask + 2*terms.list.MaxRetryBackoff; spent > discovery.StalenessLimit*3/4 {
-					t.Errorf("%s, connects of %d ms, asking in %d ms: %v are spent before the next call", mode, connect, asking, spent)
+				if spent := parsed.discoveryConnectTimeout + 2*parsed.list.MaxRetryBackoff; spent > discovery.StalenessLimit*3/4 {
+					t.Errorf("%s, connectTimeout %d ms, mustAskIn %d ms: %v pass before the next call", mode, connect, mustAskIn, spent)
 				}
-				if terms.answer >= discovery.StalenessLimit {
-					t.Errorf("%s, asking in %d ms: a call may wait for %v", mode, asking, terms.answer)
+				if parsed.watchAnswerTimeout >= discovery.StalenessLimit {
+					t.Errorf("%s, mustAskIn %d ms: a call may wait for %v", mode, mustAskIn, parsed.watchAnswerTimeout)
 				}
 			}
 		}
--- a/internal/proxy/drawn_test.go
+++ b/internal/proxy/drawn_test.go
@@ -14,112 +14,116 @@
 )
 
 var (
-	draws = flag.Int("crossings", 24, "how many crossings TestDrawn draws")
-	from  = flag.Int64("crossings.seed", 1, "the seed of the first of them")
+	crossingCount = flag.Int("crossings", 24, "number of random scenarios that TestDrawn runs")
+	firstSeed     = flag.Int64("crossings.seed", 1, "seed of the first scenario of TestDrawn")
 )
 
 const (
-	drawnWait = 1500 * time.Millisecond // dial timeout of the drawn sessions
-	window    = 200 * time.Millisecond  // for repeats of referenced ones, within their zone
-	slack     = 150 * time.Millisecond  // of what this test's own readers see
-	leftFor   = 300 * time.Millisecond  // after which nothing of a client that has left may reach a server
+	drawnDialTimeout    = 1500 * time.Millisecond // dial timeout of the drawn sessions
+	dedupWindow         = 200 * time.Millisecond  // for sessions of listener "keep", within their zone
+	readerSlack         = 150 * time.Millisecond  // delay of the test's own readers
+	sendAfterLeaveLimit = 300 * time.Millisecond  // after a client left, for its first line to reach a server
 )
 
-// judge looks from the outside: at what servers get, and what clients do and hear.
-type judge struct {
+// ruleChecker checks the rules of dialing from the outside: by what servers receive, and what clients send and get.
+type ruleChecker struct {
 	*testing.T
-	what     string
-	mu       sync.Mutex
-	sessions map[string]*seen
-	drains   map[string]time.Time // servers, by their addresses, since the proxy has the drain
-	zones    map[string]string    // of servers, the same
-	fates    map[net.Conn]*fate
+	scenario      string
+	mu            sync.Mutex
+	sessions      map[string]*sessionRecord
+	drainingSince map[string]time.Time // by server address: when the proxy had applied the drain
+	zones         map[string]string    // by server address
+	dials         map[net.Conn]*dialRecord
 }
 
-// seen is one session.
-type seen struct {
-	dials, out int
-	mayRun     bool
-	ranAt      time.Time // when the first dial that may have run came
-	ranIn      string    // and its zone
-	left       time.Time
+// sessionRecord is what was observed of one session.
+type sessionRecord struct {
+	dials, outstanding int
+	mayRun             bool
+	firstDialAt        time.Time // arrival of the first dial that may have been executed
+	firstDialZone      string    // and its server's zone
+	leftAt             time.Time
 }
 
-type fate struct {
-	of    *seen
-	ended bool // the dial is not out any more
+// dialRecord is one dial that has reached a server.
+type dialRecord struct {
+	session *sessionRecord
+	ended   bool // the dial is no longer outstanding
 }
 
-func (j *judge) wrong(format string, args ...any) {
-	j.Errorf("%s: %s", j.what, fmt.Sprintf(format, args...))
+// violation reports a broken rule with the scenario.
+func (c *ruleChecker) violation(format string, args ...any) {
+	c.Errorf("%s: %s", c.scenario, fmt.Sprintf(format, args...))
 }
 
-func (j *judge) session(id string) *seen {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.sessions[id] == nil {
-		j.sessions[id] = &seen{}
+// session returns the record of a session, which it makes on first use.
+func (c *ruleChecker) session(id string) *sessionRecord {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.sessions[id] == nil {
+		c.sessions[id] = &sessionRecord{}
 	}
-	return j.sessions[id]
+	return c.sessions[id]
 }
 
-// end tells that a dial is not out any more.
-func (j *judge) end(conn net.Conn) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if f := j.fates[conn]; f != nil && !f.ended {
-		f.ended = true
-		f.of.out--
+// endDial records that a dial is no longer outstanding.
+func (c *ruleChecker) endDial(conn net.Conn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if dial := c.dials[conn]; dial != nil && !dial.ended {
+		dial.ended = true
+		dial.session.outstanding--
 	}
 }
 
-// dial takes a first line that has reached a server. A dial given up is out until its server hears the end, which may
-// be read after the next first line.
-func (j *judge) dial(at string, conn *net.TCPConn, first string) *seen {
-	words, came := strings.Fields(first), time.Now()
-	s := j.session(words[1])
+// recordDial checks and records a first line that has reached a server. An abandoned dial counts as outstanding until its
+// server sees the end, which may be read after the next first line; so it waits up to 200 ms for that.
+func (c *ruleChecker) recordDial(server string, conn *net.TCPConn, firstLine string) *sessionRecord {
+	fields, arrivedAt := strings.Fields(firstLine), time.Now()
+	s := c.session(fields[1])
 	for range 200 {
-		j.mu.Lock()
-		out := s.out
-		j.mu.Unlock()
-		if out == 0 {
+		c.mu.Lock()
+		outstanding := s.outstanding
+		c.mu.Unlock()
+		if outstanding == 0 {
 			break
 		}
 		time.Sleep(time.Millisecond)
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if s.out > 0 {
-		j.wrong("two dials of %s are out", words[1])
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if s.outstanding > 0 {
+		c.violation("two dials of %s are outstanding", fields[1])
 	}
-	if s.mayRun && strings.Contains(first, "c=once") {
-		j.wrong("%s is sent again after a dial that may have run", words[1])
+	if s.mayRun && strings.Contains(firstLine, "c=once") {
+		c.violation("%s is sent again after a dial that may have been executed", fields[1])
 	}
-	if s.mayRun && strings.Contains(first, "c=keep") {
-		if late := came.Sub(s.ranAt); late > window+slack {
-			j.wrong("%s is sent again after %v, its window is %v", words[1], late, window)
+	if s.mayRun && strings.Contains(firstLine, "c=keep") {
+		if late := arrivedAt.Sub(s.firstDialAt); late > dedupWindow+readerSlack {
+			c.violation("%s is sent again after %v, its dedup window is %v", fields[1], late, dedupWindow)
 		}
-		if zone := j.zones[at]; zone != s.ranIn {
-			j.wrong("%s is sent again in zone %q, not %q", words[1], zone, s.ranIn)
+		if zone := c.zones[server]; zone != s.firstDialZone {
+			c.violation("%s is sent again in zone %q, not %q", fields[1], zone, s.firstDialZone)
 		}
 	}
-	if since, is := j.drains[at]; is && came.Sub(since) > 50*time.Millisecond {
-		j.wrong("%s is sent to a server that drains", words[1])
+	if since, draining := c.drainingSince[server]; draining && arrivedAt.Sub(since) > 50*time.Millisecond {
+		c.violation("%s is sent to a draining server", fields[1])
 	}
-	if !s.left.IsZero() && came.Sub(s.left) > leftFor {
-		j.wrong("%s is sent %v after its client left", words[1], came.Sub(s.left))
+	if !s.leftAt.IsZero() && arrivedAt.Sub(s.leftAt) > sendAfterLeaveLimit {
+		c.violation("%s is sent %v after its client left", fields[1], arrivedAt.Sub(s.leftAt))
 	}
 	s.dials++
-	s.out++
-	if !s.mayRun { // it is known by its answer
-		s.ranAt, s.ranIn = came, j.zones[at]
+	s.outstanding++
+	if !s.mayRun { // whether this dial may run is known only by its answer
+		s.firstDialAt, s.firstDialZone = arrivedAt, c.zones[server]
 	}
-	j.fates[conn] = &fate{of: s}
+	c.dials[conn] = &dialRecord{session: s}
 	return s
 }
 
-// answers are what a server may do with a first line, and whether the session may have run then.
-var answers = []struct {
+// serverAnswers are what a server may do on a first line, whether the session may have been executed then, and how the server
+// ends the connection.
+var serverAnswers = []struct {
 	text   string
 	mayRun bool
 	end    string
@@ -129,188 +133,195 @@
 	{"", true, "fin"}, {"", true, ""}, {strings.Repeat("U", 6000), true, ""}, {"U", true, "rst"},
 }
 
-// does is what servers do, by the session and the dial, so that a seed plays the same.
-func (j *judge) does(seed int64) func(conn *net.TCPConn, nth int, first string) {
+// drawnAnswer returns what servers do on a first line: drawn by the seed, the session and the dial, so that a seed repeats the
+// same scenario.
+func (c *ruleChecker) drawnAnswer(seed int64) func(conn *net.TCPConn, nth int, first string) {
 	return func(conn *net.TCPConn, _ int, first string) {
-		s := j.dial(conn.LocalAddr().String(), conn, first)
-		h := rand.New(rand.NewSource(seed + int64(len(first))*7919 + int64(s.dials)*104729 + int64(first[len("OPEN ")+4])))
-		a := answers[h.Intn(len(answers))]
-		j.mu.Lock()
-		s.mayRun = s.mayRun || a.mayRun
-		j.mu.Unlock()
-		if a.text != "" && !strings.HasPrefix(a.text, "U") {
-			j.end(conn) // its answer ends it
+		s := c.recordDial(conn.LocalAddr().String(), conn, first)
+		random := rand.New(rand.NewSource(seed + int64(len(first))*7919 + int64(s.dials)*104729 + int64(first[len("OPEN ")+4])))
+		answer := serverAnswers[random.Intn(len(serverAnswers))]
+		c.mu.Lock()
+		s.mayRun = s.mayRun || answer.mayRun
+		c.mu.Unlock()
+		if answer.text != "" && !strings.HasPrefix(answer.text, "U") {
+			c.endDial(conn) // a whole answer ends the dial
 		}
-		fmt.Fprint(conn, a.text)
-		switch a.end {
+		fmt.Fprint(conn, answer.text)
+		switch answer.end {
 		case "rst":
-			j.end(conn)
+			c.endDial(conn)
 			conn.SetLinger(0)
 			conn.Close()
 		case "fin":
-			j.end(conn)
+			c.endDial(conn)
 			conn.CloseWrite()
 		}
 	}
 }
 
-// client is one session from its first byte to its end, by a plan.
-func (j *judge) client(at, id string, h *rand.Rand, mayFail bool) {
-	conn, err := net.Dial("tcp", at)
+// runClient runs one session from its first byte to its end, by a drawn plan.
+func (c *ruleChecker) runClient(address, id string, random *rand.Rand, connectMayFail bool) {
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
-		if !mayFail {
-			j.wrong("%v", err)
+		if !connectMayFail {
+			c.violation("the client can't connect: %v", err)
 		}
 		return
 	}
 	defer conn.Close()
-	d := dialog{Conn: conn}
-	listener := []string{"chat", "keep", "once"}[h.Intn(3)]
-	line := fmt.Sprintf("OPEN %s %d c=%s,d=%d,g=%d\r\n", id, h.Intn(50), listener, drawnWait/time.Millisecond, h.Intn(4))
-	plan, cut := h.Intn(6), h.Intn(len(line))
-	s := j.session(id)
-	if h.Intn(3) == 0 {
-		fmt.Fprint(conn, strings.Repeat("PING\r\n", h.Intn(20)))
+	d := clientConn{Conn: conn}
+	listener := []string{"chat", "keep", "once"}[random.Intn(3)]
+	line := fmt.Sprintf("OPEN %s %d c=%s,d=%d,g=%d\r\n", id, random.Intn(50), listener, drawnDialTimeout/time.Millisecond, random.Intn(4))
+	plan, splitAt := random.Intn(6), random.Intn(len(line))
+	s := c.session(id)
+	if random.Intn(3) == 0 {
+		fmt.Fprint(conn, strings.Repeat("PING\r\n", random.Intn(20)))
 	}
-	fmt.Fprint(conn, line[:cut])
-	if plan == 0 { // gone with half a line
+	fmt.Fprint(conn, line[:splitAt])
+	if plan == 0 { // leaves within the first line
 		return
 	}
-	if h.Intn(3) == 0 {
-		time.Sleep(time.Duration(h.Intn(5)) * time.Millisecond)
+	if random.Intn(3) == 0 {
+		time.Sleep(time.Duration(random.Intn(5)) * time.Millisecond)
 	}
-	fmt.Fprint(conn, line[cut:])
-	asked := time.Now()
-	leave := leaves[[]string{"fin", "close", "rst"}[h.Intn(3)]]
-	if plan == 1 || plan == 2 { // it goes right behind its line, or a little later
-		time.Sleep(time.Duration(plan-1) * time.Duration(h.Intn(30)) * time.Millisecond)
+	fmt.Fprint(conn, line[splitAt:])
+	askedAt := time.Now()
+	leave := waysToLeave[[]string{"fin", "close", "rst"}[random.Intn(3)]]
+	if plan == 1 || plan == 2 { // leaves right after its line, or a little later
+		time.Sleep(time.Duration(plan-1) * time.Duration(random.Intn(30)) * time.Millisecond)
 		leave(d)
-		j.mu.Lock()
-		s.left = time.Now()
-		j.mu.Unlock()
+		c.mu.Lock()
+		s.leftAt = time.Now()
+		c.mu.Unlock()
 		if plan == 2 {
 			io.Copy(io.Discard, conn)
 		}
 		return
 	}
-	conn.SetReadDeadline(asked.Add(drawnWait + 500*time.Millisecond)) // by the standing page it is lost from then on
-	buf, heard := make([]byte, 4096), ""
+	conn.SetReadDeadline(askedAt.Add(drawnDialTimeout + 500*time.Millisecond)) // by the standing page a later answer counts as lost
+	buf, received := make([]byte, 4096), ""
 	for {
 		n, err := conn.Read(buf)
-		heard += string(buf[:n])
-		if !strings.HasSuffix(heard, "\n") && err == nil {
+		received += string(buf[:n])
+		if !strings.HasSuffix(received, "\n") && err == nil {
 			continue
 		}
-		if heard = strings.ReplaceAll(heard, "PONG\r\n", ""); heard != "" {
+		if received = strings.ReplaceAll(received, "PONG\r\n", ""); received != "" {
 			break
 		}
 		if err != nil {
-			j.wrong("%s gets no answer: %v", id, err)
+			c.violation("%s gets no answer: %v", id, err)
 			return
 		}
 	}
-	first, rest, _ := strings.Cut(heard, "\n")
+	first, rest, _ := strings.Cut(received, "\n")
 	switch {
 	case strings.HasPrefix(first, "UP"):
 		fmt.Fprint(conn, "M 1\r\n")
-		conn.SetReadDeadline(time.Now().Add(time.Duration(h.Intn(40)) * time.Millisecond))
+		conn.SetReadDeadline(time.Now().Add(time.Duration(random.Intn(40)) * time.Millisecond))
 		more, _ := io.ReadAll(conn)
 		rest += string(more)
 		for _, last := range []string{"MOVE\r\n", "BYE\r\n"} {
 			if i := strings.Index(rest, last); i >= 0 && i+len(last) < len(rest) {
-				j.wrong("%s gets %q", id, rest)
+				c.violation("%s gets %q", id, rest)
 			}
 		}
 		leave(d)
 	case strings.HasPrefix(first, "BUSY"), strings.HasPrefix(first, "ERR"), strings.HasPrefix(first, "BYE"):
 		conn.SetReadDeadline(time.Now().Add(2 * time.Second))
 		if more, err := io.ReadAll(conn); rest+string(more) != "" || err != nil {
-			j.wrong("%s gets %q after %q, %v", id, rest+string(more), first, err)
+			c.violation("%s gets %q after %q, %v", id, rest+string(more), first, err)
 		}
 	default:
-		j.wrong("%s gets %q", id, heard)
+		c.violation("%s gets %q", id, received)
 	}
 }
 
-// TestDrawn draws crossings of all kinds, with the rules checked from the outside after each: clients that leave at any
-// moment, ends of the process, lists that change under dials, servers that answer in every way, half lines and PINGs,
-// other settings under all of it; the loop stands still for a while in each, so that much comes due at once.
+// TestDrawn runs random scenarios in which events coincide, and checks the rules of dialing in each: clients leave at any
+// moment, the process ends, the list changes during dials, servers answer in every way, clients send half lines and PINGs, and
+// the settings are reloaded. The event loop is stalled for a while in each scenario, so that many events become due at once.
+// The kind of a scenario selects what else happens: 1 ends the process, 2 drains a server, 3 delays connects, 5 reloads.
 func TestDrawn(t *testing.T) {
-	usual := []string{`"dialTimeout":800`, fmt.Sprintf(`"dialTimeout":%d`, drawnWait/time.Millisecond), `"messageAim":[100]`, `"messageAim":[100,100,100]`,
+	replacements := []string{`"dialTimeout":800`, fmt.Sprintf(`"dialTimeout":%d`, drawnDialTimeout/time.Millisecond),
+		`"messageAim":[100]`, `"messageAim":[100,100,100]`,
 		`"listeners":[`, fmt.Sprintf(`"listeners":[{"name":"keep","dialTimeout":%d,"effect":"idempotency_key","group":"zone","repeatWindow":%d},`+
-			`{"name":"once","dialTimeout":%d,"effect":"non_idempotent"},`, drawnWait/time.Millisecond, window/time.Millisecond, drawnWait/time.Millisecond)}
+			`{"name":"once","dialTimeout":%d,"effect":"non_idempotent"},`, drawnDialTimeout/time.Millisecond,
+			dedupWindow/time.Millisecond, drawnDialTimeout/time.Millisecond)}
 	const workers = 4
 	before := runtime.NumGoroutine()
 	t.Run("", func(t *testing.T) {
 		for w := range workers {
 			t.Run(fmt.Sprint(w), func(t *testing.T) {
 				t.Parallel()
-				var r *rig
-				var servers []*post
-				j := &judge{T: t}
+				var r *testProxy
+				var servers []*testServer
+				checker := &ruleChecker{T: t}
 				revision := 0
-				for n := w; n < *draws; n += workers {
-					seed := *from + int64(n)
-					h := rand.New(rand.NewSource(seed))
+				for n := w; n < *crossingCount; n += workers {
+					seed := *firstSeed + int64(n)
+					random := rand.New(rand.NewSource(seed))
 					kind := n / workers % 6
-					j.mu.Lock()
-					j.what, j.sessions, j.drains, j.fates = fmt.Sprintf("seed %d, kind %d", seed, kind), map[string]*seen{}, map[string]time.Time{}, map[net.Conn]*fate{}
-					j.zones = map[string]string{}
-					j.mu.Unlock()
+					checker.mu.Lock()
+					checker.scenario, checker.sessions = fmt.Sprintf("seed %d, kind %d", seed, kind), map[string]*sessionRecord{}
+					checker.drainingSince, checker.dials = map[string]time.Time{}, map[net.Conn]*dialRecord{}
+					checker.zones = map[string]string{}
+					checker.mu.Unlock()
 					if r == nil || kind == 1 {
-						r, servers, revision = rigged(t, append(usual, `"proxy"`, []string{`"proxy"`, `"pass"`}[h.Intn(2)])...), nil, 0
+						r, servers, revision = startTestProxy(t,
+							append(replacements, `"proxy"`, []string{`"proxy"`, `"pass"`}[random.Intn(2)])...), nil, 0
 						for range 3 {
-							servers = append(servers, posted(t, nil))
+							servers = append(servers, startTestServer(t, nil))
 						}
 					}
 					list := func(phases ...string) {
 						revision++
 						var entries []string
 						for i, s := range servers {
-							zone := []string{"a", "a", "elsewhere"}[i] // the settings name the first
-							entries = append(entries, strings.Replace(member(fmt.Sprint("s-", i), s.at, phases[i]), `"locality":"a"`, fmt.Sprintf(`"locality":%q`, zone), 1))
-							j.mu.Lock()
-							j.zones[s.at] = zone
-							j.mu.Unlock()
+							zone := []string{"a", "a", "elsewhere"}[i] // the settings name only "a"
+							entries = append(entries, strings.Replace(serverEntry(fmt.Sprint("s-", i), s.address, phases[i]),
+								`"locality":"a"`, fmt.Sprintf(`"locality":%q`, zone), 1))
+							checker.mu.Lock()
+							checker.zones[s.address] = zone
+							checker.mu.Unlock()
 						}
-						r.listed(revision, entries...)
+						r.applyList(revision, entries...)
 						for i, s := range servers {
-							j.mu.Lock()
-							if delete(j.drains, s.at); phases[i] != "ready" {
-								j.drains[s.at] = time.Now()
+							checker.mu.Lock()
+							if delete(checker.drainingSince, s.address); phases[i] != "ready" {
+								checker.drainingSince[s.address] = time.Now()
 							}
-							j.mu.Unlock()
+							checker.mu.Unlock()
 						}
 					}
 					for _, s := range servers {
 						s.mu.Lock()
-						s.does, s.gone = j.does(seed), j.end
+						s.onFirstLine, s.onEnd = checker.drawnAnswer(seed), checker.endDial
 						s.mu.Unlock()
 					}
 					list("ready", "ready", "ready")
-					takeBack := func() {}
+					restore := func() {}
 					if kind == 3 {
-						takeBack = r.slowConnects(seed, drawnWait*2/3)
+						restore = r.delayConnects(seed, drawnDialTimeout*2/3)
 					}
 					var clients sync.WaitGroup
 					release := func() {}
-					for i := range 4 + h.Intn(5) {
+					for i := range 4 + random.Intn(5) {
 						if i == 2 {
-							release = r.stall()
+							release = r.stallLoop()
 						}
 						own := rand.New(rand.NewSource(seed<<8 + int64(i)))
-						clients.Go(func() { j.client(r.at, fmt.Sprintf("%x%02x", 0xa00000+seed, i), own, kind == 1) })
+						clients.Go(func() { checker.runClient(r.address, fmt.Sprintf("%x%02x", 0xa00000+seed, i), own, kind == 1) })
 					}
-					time.Sleep(time.Duration(h.Intn(60)) * time.Millisecond)
-					told, took := time.Now(), make(chan time.Duration, 1)
+					time.Sleep(time.Duration(random.Intn(60)) * time.Millisecond)
+					leaveCalledAt, endedAfter := time.Now(), make(chan time.Duration, 1)
 					var reloaded sync.WaitGroup
 					switch kind {
 					case 1:
 						go func(ended chan error) {
 							if err := <-ended; err != nil {
-								j.wrong("the process ends: %v", err)
+								checker.violation("Run returns %v", err)
 							}
-							took <- time.Since(told)
+							endedAfter <- time.Since(leaveCalledAt)
 						}(r.ended)
 						for range 2 {
 							reloaded.Go(r.p.Leave)
@@ -320,11 +331,11 @@
 						release = func() {}
 						list("draining", "ready", "ready")
 					case 5:
-						text := strings.Replace(r.text, `"name":"once"`, `"name":"later"`, 1)
+						text := strings.Replace(r.configText, `"name":"once"`, `"name":"later"`, 1)
 						for range 2 {
 							reloaded.Go(func() {
 								if err := r.p.Reload([]byte(text)); err != nil {
-									j.wrong("%v", err)
+									checker.violation("Reload returns %v", err)
 								}
 							})
 						}
@@ -332,26 +343,26 @@
 					}
 					release()
 					clients.Wait()
-					takeBack()
+					restore()
 					reloaded.Wait()
 					if kind == 1 {
 						select {
-						case took := <-took:
-							if took < arrivalsAfterTerm || took > drawnWait+killMargin {
-								j.wrong("the process ends after %v", took)
+						case took := <-endedAfter:
+							if took < arrivalsAfterTerm || took > drawnDialTimeout+killMargin {
+								checker.violation("Run ends after %v", took)
 							}
 						case <-time.After(5 * time.Second):
-							j.wrong("the process does not end")
+							checker.violation("Run does not end")
 						}
 						r = nil
 						continue
 					}
 					if kind == 5 {
-						if err := r.p.Reload([]byte(r.text)); err != nil {
-							j.wrong("%v", err)
+						if err := r.p.Reload([]byte(r.configText)); err != nil {
+							checker.violation("Reload returns %v", err)
 						}
 					}
-					r.over()
+					r.expectIdle()
 				}
 			})
 		}
--- a/internal/proxy/leave.go
+++ b/internal/proxy/leave.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	leaveSteps = 16
-	passShare  = 0.8 // of the time that a proxy surely has, to the end of one whose sessions pass through
-	waitShare  = 0.5 // and to the first move at one where they end
-	moveShare  = 0.4 // and from the first to the last
+	shutdownSteps       = 16  // steps in which sessions are moved; also divides other intervals of the shutdown
+	passThroughEndShare = 0.8 // fraction of shutdownTime(1) until a proxy whose sessions pass through may end
+	firstMoveShare      = 0.5 // fraction until the first sessions are moved, where they end at the proxy
+	moveSpanShare       = 0.4 // fraction between the first and the last move
 )
 
-// phase is how far a proxy is on its way out.
+// phase is the state of the shutdown. Phases follow one another in this order.
 type phase int
 
 const (
 	serving phase = iota
-	leaving       // told to end; what comes is still served
-	closing       // nothing new is let in; what has come still gets its answer, and last lines their time
-	gone          // the process ends
+	leaving       // SIGTERM was received; new connections are still served
+	closing       // no new connections are accepted; those that came still get an answer, and final lines are sent
+	gone          // the process is ending
 )
 
 func (p phase) String() string {
 	return [...]string{serving: "serving", leaving: "leaving", closing: "closing", gone: "gone"}[p]
 }
 
-// enterPhase is the one place where a proxy's phase changes; each follows the one before.
+// enterPhase changes the phase and logs it. It panics unless next directly follows the current phase.
 func (p *Proxy) enterPhase(next phase) {
 	if next != p.phase+1 {
 		panic(fmt.Sprintf("the proxy goes from phase %d to %d", p.phase, next))
@@ -40,10 +40,11 @@
 		Int("idle", p.clients.Idle()).Int("connecting", p.connector.Out()).Msg("phase")
 }
 
-// Leave is told that the process is to end: what comes is still served. Where sessions end at the proxy they
-// are moved before, spread out so that their clients don't all come again at once; where they pass through it others
-// take over. Neither at once: new connections still come here, moved clients among them, and in a rolling restart
-// the proxy that left last is not back. Nor as late as the kill: by then the next proxy is told to leave, too.
+// Leave starts the shutdown (SIGTERM) once the event loop runs; further calls do nothing. New connections are still served.
+// Where sessions end at the proxy (mode "proxy"), they are moved before the process ends, spread out so that their clients
+// don't all reconnect at once; where they pass through it (mode "pass"), other proxies take over. Neither happens at once:
+// new connections still arrive here, those of moved clients among them, and in a rolling restart the proxy that was
+// restarted before may not be back. Nor does it wait until the kill: by then the next proxy is told to leave, too.
 func (p *Proxy) Leave() {
 	<-p.ready
 	p.execute(func() {
@@ -52,74 +53,76 @@
 		}
 		p.enterPhase(leaving)
 		p.log.Info().Int("sessions", p.table.Len()).Msg("leaving")
-		standstill := p.standstillJustNow()
-		p.timers.After(p.leaveSpan(1)+killMargin/2, p.lastCall)
-		if standstill > 0 { // the signal, and so the kill, may be that much older
-			killAt := p.now() + p.leaveSpan(1) + killMargin - standstill
-			p.timers.After(p.leaveSpan(1)+killMargin/2-standstill, func() { p.answerEarly(killAt) })
+		stoodStillFor := p.recentStandstill()
+		p.timers.After(p.shutdownTime(1)+killMargin/2, p.endBeforeKill)
+		if stoodStillFor > 0 { // the signal may have been sent that much earlier, and the kill comes that much earlier
+			killAt := p.now() + p.shutdownTime(1) + killMargin - stoodStillFor
+			p.timers.After(p.shutdownTime(1)+killMargin/2-stoodStillFor, func() { p.answerUntilKill(killAt) })
 		}
-		if p.terms.passes {
-			p.timers.After(max(p.leaveSpan(passShare), arrivalsAfterTerm*5/4), p.windUp)
+		if p.settings.passThrough {
+			p.timers.After(max(p.shutdownTime(passThroughEndShare), arrivalsAfterTerm*5/4), p.endWhenIdle)
 			return
 		}
-		p.timers.After(max(p.leaveSpan(waitShare), arrivalsAfterTerm)-standstill, func() { p.moveSome(leaveSteps) })
+		p.timers.After(max(p.shutdownTime(firstMoveShare), arrivalsAfterTerm)-stoodStillFor, func() { p.moveSessions(shutdownSteps) })
 	})
 }
 
-// leaveSpan is a share of the time that a proxy surely has.
-func (p *Proxy) leaveSpan(share float64) time.Duration {
-	return time.Duration(share * float64(min(p.terms.patience, maxDialTimeout)))
+// shutdownTime is a fraction of the time that a proxy is guaranteed to have after SIGTERM, without killMargin.
+func (p *Proxy) shutdownTime(share float64) time.Duration {
+	return time.Duration(share * float64(min(p.settings.longestDialTimeout, maxDialTimeout)))
 }
 
-// moveSome moves a part of what is open in each step, and what has come since in further ones.
-func (p *Proxy) moveSome(steps int) {
-	if steps <= 0 && p.table.Len() == 0 {
-		p.windUp()
+// moveSessions moves an equal part of the open sessions in each of the remaining steps, and sessions that have come since
+// in further steps. Once none is left it goes on with endWhenIdle.
+func (p *Proxy) moveSessions(stepsLeft int) {
+	if stepsLeft <= 0 && p.table.Len() == 0 {
+		p.endWhenIdle()
 		return
 	}
-	if n := p.table.Open(); n > 0 {
-		p.table.MoveSome((n + max(steps, 1) - 1) / max(steps, 1))
+	if open := p.table.Open(); open > 0 {
+		p.table.MoveSome((open + max(stepsLeft, 1) - 1) / max(stepsLeft, 1))
 	}
-	p.timers.After(p.leaveSpan(moveShare)/leaveSteps, func() { p.moveSome(steps - 1) })
+	p.timers.After(p.shutdownTime(moveSpanShare)/shutdownSteps, func() { p.moveSessions(stepsLeft - 1) })
 }
 
-// windUp looks again and again for what is left to do before the process may end: sessions that wait for their
-// answers, then clients in the kernel's queue, and last lines on their way. What is open where sessions pass through
-// is not ended: its packets go on by another proxy.
-func (p *Proxy) windUp() {
+// endWhenIdle checks periodically what is left to do before the process may end: first sessions that wait for an answer,
+// then clients in the kernel's accept queue, then final lines that are not sent yet. Open sessions that pass through the
+// proxy are not ended: another proxy carries their packets on.
+func (p *Proxy) endWhenIdle() {
 	waiting := p.table.Len() - p.table.Open()
 	switch {
 	case p.phase == gone:
 		return
 	case waiting > 0:
-	case !p.terms.passes && p.table.Open() > 0: // it has come since
+	case !p.settings.passThrough && p.table.Open() > 0: // opened since the last move
 		p.table.MoveSome(p.table.Open())
 	case p.phase == leaving:
 		if p.stopAccepting() {
 			p.enterPhase(closing)
-			p.endsBy = p.now() + arrivalsAfterTerm/2
-			p.came = true // two looks without one show that the queue is empty
+			p.closingDeadline = p.now() + arrivalsAfterTerm/2
+			p.connectionArrived = true // the accept queue counts as empty after two checks without a new connection
 		}
-	case p.loop.HasWaiting(): // accepting may fail for a moment
-		p.came = true
-	case p.came:
-		p.came = false
-	case p.clients.Idle() > 0: // a line that crosses the answer is answered by it
+	case p.loop.HasWaiting(): // accept may have failed temporarily
+		p.connectionArrived = true
+	case p.connectionArrived:
+		p.connectionArrived = false
+	case p.clients.Idle() > 0: // the answer also covers a line that the client sends at the same time
 		p.clients.Dismiss()
-	case p.now() < p.endsBy && (p.connectionLimit.Spares() > 0 || p.connector.Out() > 0):
+	case p.now() < p.closingDeadline && (p.connectionLimit.Spares() > 0 || p.connector.Out() > 0):
 	default:
-		p.end()
+		p.exit()
 		return
 	}
-	p.timers.After(p.leaveSpan(1)/leaveSteps/leaveSteps, p.windUp)
+	p.timers.After(p.shutdownTime(1)/shutdownSteps/shutdownSteps, p.endWhenIdle)
 }
 
-// stopAccepting has the kernel drop new connections, while those that it has taken are still accepted. To close the listener
-// would reset them, with a first line unread. It returns false when that failed for a moment.
+// stopAccepting attaches a socket filter that has the kernel drop new connections, while those in its accept queue are
+// still accepted: closing the listener would reset them with their first line unread. It returns false if that failed
+// temporarily and is worth another try.
 func (p *Proxy) stopAccepting() bool {
-	none := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K}
+	dropAll := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K}
 	err := unix.SetsockoptSockFprog(p.loop.ListenerFD(), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER,
-		&unix.SockFprog{Len: 1, Filter: &none})
+		&unix.SockFprog{Len: 1, Filter: &dropAll})
 	meaning := failure.Classify(failure.Option, err)
 	if meaning != failure.None {
 		p.failures.Note(failure.Option, err, meaning)
@@ -127,51 +130,54 @@
 	return !meaning.Passes()
 }
 
-// lastCall ends the process before it is killed, whatever hangs: what still waits is answered, what may be moved is.
-func (p *Proxy) lastCall() {
+// endBeforeKill ends the process before it is killed, whatever is still pending: waiting clients are answered and sessions
+// moved where they may be.
+func (p *Proxy) endBeforeKill() {
 	if p.phase == gone {
 		return
 	}
 	p.log.Warn().Int("sessions", p.table.Len()).Int("open", p.table.Open()).Msg("last call")
-	p.answerAll()
-	p.timers.After(killMargin/8, func() { // for the last lines
+	p.answerAndMoveAll()
+	p.timers.After(killMargin/8, func() { // time for the final lines to be sent
 		if p.phase != gone {
-			p.answerAll() // what the kernel had taken before, and has been accepted since
+			p.answerAndMoveAll() // connections from the accept queue that were accepted since
 		}
 		if p.phase == leaving {
 			p.enterPhase(closing)
 		}
 		if p.phase == closing {
-			p.end()
+			p.exit()
 		}
 	})
 }
 
-// answerEarly answers and moves all as lastCall does, and what still comes again and again until the time of a kill that may be
-// near. A proxy that goes on after that was told to leave later, and serves until its last call.
-func (p *Proxy) answerEarly(killAt time.Duration) {
+// answerUntilKill answers and moves everything as endBeforeKill does, and repeats that for new arrivals until killAt, the
+// earliest time of the kill. A proxy that is still running after that received its signal later, and serves until
+// endBeforeKill.
+func (p *Proxy) answerUntilKill(killAt time.Duration) {
 	if p.phase == gone || p.now() > killAt {
 		return
 	}
-	p.answerAll()
-	p.timers.After(killMargin/leaveSteps, func() { p.answerEarly(killAt) })
+	p.answerAndMoveAll()
+	p.timers.After(killMargin/shutdownSteps, func() { p.answerUntilKill(killAt) })
 }
 
-// answerAll gives each client that waits its answer, and moves what may be moved.
-func (p *Proxy) answerAll() {
+// answerAndMoveAll gives each waiting client its answer and, where sessions end at the proxy, moves all open ones.
+func (p *Proxy) answerAndMoveAll() {
 	p.table.GiveUp()
 	p.clients.Dismiss()
-	if !p.terms.passes {
+	if !p.settings.passThrough {
 		p.table.MoveSome(p.table.Open())
 	}
 }
 
-// end ends the process, or the event loop where nothing is open any more.
-func (p *Proxy) end() {
+// exit has Run return: at once with open connections left as they are where sessions pass through the proxy, else by
+// stopping the event loop.
+func (p *Proxy) exit() {
 	p.enterPhase(gone)
 	p.log.Info().Int("sessions", p.table.Len()).Msg("left")
-	if p.terms.passes {
-		close(p.left)
+	if p.settings.passThrough {
+		close(p.exitNow)
 		return
 	}
 	go p.stopLoop()
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -10,122 +10,122 @@
 	"time"
 )
 
-// leftSpan is how long after its client has left an attempt may still begin, by the operators' terms.
-const leftSpan = 100 * time.Millisecond
+// leaveGrace is how long after a client has left a connect for its session may still begin, by the operators' requirements.
+const leaveGrace = 100 * time.Millisecond
 
-// countConnects counts the connects to servers that begin from now on.
-func (r *rig) countConnects() *atomic.Int64 {
-	var begun atomic.Int64
-	r.on(func() {
-		usual := r.p.connector.Dial
+// countConnects counts the connects to servers that start from now on.
+func (r *testProxy) countConnects() *atomic.Int64 {
+	var connects atomic.Int64
+	r.onLoop(func() {
+		originalDial := r.p.connector.Dial
 		r.p.connector.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-			begun.Add(1)
-			return usual(ctx, address)
+			connects.Add(1)
+			return originalDial(ctx, address)
 		}
 	})
-	return &begun
+	return &connects
 }
 
-// TestLeftBeforeFirstAttempt: the loop stands still while clients connect, send their line and leave: for none of them
-// does so much as a connect begin, and a client that waits is served.
+// TestLeftBeforeFirstAttempt stalls the event loop while clients connect, send their first line and leave. No connect may
+// start for any of them, and a client that still waits must be served.
 func TestLeftBeforeFirstAttempt(t *testing.T) {
-	for name, leave := range leaves {
+	for name, leave := range waysToLeave {
 		t.Run(name, func(t *testing.T) {
-			r := rigged(t)
-			s := posted(t, func(conn *net.TCPConn, _ int, _ string) { fmt.Fprint(conn, "UP 1\r\n") })
-			r.listed(1, member("s-1", s.at, "ready"))
-			begun := r.countConnects()
-			release := r.stall()
+			r := startTestProxy(t)
+			s := startTestServer(t, func(conn *net.TCPConn, _ int, _ string) { fmt.Fprint(conn, "UP 1\r\n") })
+			r.applyList(1, serverEntry("s-1", s.address, "ready"))
+			connects := r.countConnects()
+			release := r.stallLoop()
 			for range 20 {
-				d := connect(t, r.at)
-				fmt.Fprint(d.Conn, opening())
+				d := connect(t, r.address)
+				fmt.Fprint(d.Conn, openLine())
 				leave(d)
 			}
-			waits := connect(t, r.at)
-			fmt.Fprint(waits.Conn, opening())
-			time.Sleep(leftSpan * 3 / 2)
+			waiting := connect(t, r.address)
+			fmt.Fprint(waiting.Conn, openLine())
+			time.Sleep(leaveGrace * 3 / 2)
 			release()
-			waits.hear("UP 1\r\n")
-			r.until("only that one is left", func() bool { return r.p.table.Len() == 1 && r.p.connector.Out() == 0 })
-			if n := begun.Load(); n != 1 {
-				t.Errorf("%d connects begin for one client that waits", n)
+			waiting.expectLine("UP 1\r\n")
+			r.waitFor("only the waiting client's session is left", func() bool { return r.p.table.Len() == 1 && r.p.connector.Out() == 0 })
+			if count := connects.Load(); count != 1 {
+				t.Errorf("%d connects for one waiting client", count)
 			}
-			waits.Close()
+			waiting.Close()
 		})
 	}
 }
 
-// TestLeftBeforeFurtherAttempt: the loop stands still while a server answers a session with an error and its client
-// leaves, in both orders; another server could take the session, and no connect begins for it.
+// TestLeftBeforeFurtherAttempt stalls the event loop while a server answers a session with an error and its client leaves, in
+// both orders. Another server could take the session, but no connect may start for it.
 func TestLeftBeforeFurtherAttempt(t *testing.T) {
-	for name, leave := range leaves {
+	for name, leave := range waysToLeave {
 		for _, leftFirst := range []bool{true, false} {
 			t.Run(fmt.Sprint(name, leftFirst), func(t *testing.T) {
-				r := rigged(t, `"dialTimeout":800`, `"dialTimeout":4000`)
-				asked, answer, answered := make(chan bool, 1), make(chan bool), make(chan bool)
-				s := posted(t, func(conn *net.TCPConn, nth int, _ string) {
-					if nth < 100 { // of the sessions that come first
+				r := startTestProxy(t, `"dialTimeout":800`, `"dialTimeout":4000`)
+				lineReceived, answerNow, answered := make(chan bool, 1), make(chan bool), make(chan bool)
+				s := startTestServer(t, func(conn *net.TCPConn, nth int, _ string) {
+					if nth < 100 { // one of the sessions that warm up the balancer
 						fmt.Fprint(conn, "UP 1\r\n")
 						return
 					}
-					asked <- true
-					<-answer
+					lineReceived <- true
+					<-answerNow
 					fmt.Fprint(conn, "ERR\r\n")
 					close(answered)
 				})
-				r.listed(1, member("s-1", s.at, "ready"), member("s-2", s.at, "ready"))
-				r.served("UP 1\r\n")
-				s.from(100)
-				begun := r.countConnects()
-				d := connect(t, r.at)
-				fmt.Fprint(d.Conn, strings.Replace(opening(), "800", "4000", 1))
-				<-asked
-				release := r.stall()
+				r.applyList(1, serverEntry("s-1", s.address, "ready"), serverEntry("s-2", s.address, "ready"))
+				r.warmUp("UP 1\r\n")
+				s.numberFirstLinesFrom(100)
+				connects := r.countConnects()
+				d := connect(t, r.address)
+				fmt.Fprint(d.Conn, strings.Replace(openLine(), "800", "4000", 1))
+				<-lineReceived
+				release := r.stallLoop()
 				if leftFirst {
 					leave(d)
 				}
-				close(answer)
+				close(answerNow)
 				<-answered
 				if !leftFirst {
 					leave(d)
 				}
-				time.Sleep(leftSpan * 3 / 2)
+				time.Sleep(leaveGrace * 3 / 2)
 				release()
-				r.until("the session is over", func() bool { return r.p.table.Len() == 0 && r.p.connector.Out() == 0 })
-				if n := begun.Load(); n != 1 {
-					t.Errorf("%d connects begin, one before the client has left", n)
+				r.waitFor("the session is over", func() bool { return r.p.table.Len() == 0 && r.p.connector.Out() == 0 })
+				if count := connects.Load(); count != 1 {
+					t.Errorf("%d connects, want only the one before the client left", count)
 				}
 				d.Close()
-				r.over()
+				r.expectIdle()
 			})
 		}
 	}
 }
 
-// TestLeftBeforeNextTry: a session waits for a later try at its holder; the loop stands still while that comes due and
-// the client leaves: no connect begins.
+// TestLeftBeforeNextTry: a session waits for another try at the server that holds it. The event loop is stalled while that
+// try becomes due and the client leaves. No connect may start.
 func TestLeftBeforeNextTry(t *testing.T) {
-	for name, leave := range leaves {
+	for name, leave := range waysToLeave {
 		t.Run(name, func(t *testing.T) {
-			r, holder := rigged(t), free(t)
-			r.listed(1, member("s-1", holder, "ready"))
-			d := connect(t, r.at)
+			r, holder := startTestProxy(t), freeAddress(t)
+			r.applyList(1, serverEntry("s-1", holder, "ready"))
+			d := connect(t, r.address)
 			fmt.Fprint(d.Conn, "OPEN aa 1 c=chat,d=800,at=s-1\r\n")
-			r.until("the session waits for a later try", func() bool {
+			r.waitFor("the session waits for another try", func() bool {
 				return r.p.table.Len() == 1 && r.p.connector.Out() == 0
 			})
-			begun := r.countConnects()
-			release := r.stall()
-			before := begun.Load() // it may have come due just now
+			connects := r.countConnects()
+			release := r.stallLoop()
+			before := connects.Load() // the try may have become due just now
 			leave(d)
-			time.Sleep(2 * r.p.terms.connect)
+			time.Sleep(2 * r.p.settings.connectTimeout)
 			release()
-			r.until("the session is over", func() bool { return r.p.table.Len() == 0 && r.p.connector.Out() == 0 })
-			if n := begun.Load(); n != before {
-				t.Errorf("%d connects begin after the client has left", n-before)
+			r.waitFor("the session is over", func() bool { return r.p.table.Len() == 0 && r.p.connector.Out() == 0 })
+			if count := connects.Load(); count != before {
+				t.Errorf("%d connects after the client left", count-before)
 			}
 			d.Close()
-			r.over()
+			r.expectIdle()
 		})
 	}
 }
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -8,25 +8,26 @@
 	"chalkferry/internal/start"
 )
 
-// listenPeers opens the socket for messages of other proxies, where the settings allow any.
-func (p *Proxy) listenPeers(at start.Addresses, t *terms) (*peers.Conn, error) {
-	if !t.words.Enabled || at.PeerListen == "" {
+// listenPeers opens the socket for overload reports of other proxies. It returns nil if the settings allow none or the
+// configuration has no address for it.
+func (p *Proxy) listenPeers(addresses start.Addresses, settings *runtimeSettings) (*peers.Conn, error) {
+	if !settings.peerReports.Enabled || addresses.PeerListen == "" {
 		return nil, nil
 	}
-	end, err := peers.Listen(at.PeerListen, at.PeersAll, at.Peers, p.receivePeer)
+	endpoint, err := peers.Listen(addresses.PeerListen, addresses.PeersAll, addresses.Peers, p.receivePeerMessage)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	return end, nil
+	return endpoint, nil
 }
 
-// receivePeer takes a message of another proxy, off the loop.
-func (p *Proxy) receivePeer(message []byte) {
+// receivePeerMessage passes an overload report of another proxy to the balancer. It is called outside the event loop.
+func (p *Proxy) receivePeerMessage(message []byte) {
 	<-p.ready
-	at, delay, err := benchwire.Word(message)
+	server, delay, err := benchwire.Word(message)
 	if err != nil {
 		p.log.Warn().Err(err).Msg("a word from another proxy is ignored")
 		return
 	}
-	p.execute(func() { p.balancer.ReceiveOverload(p.now(), at, delay) })
+	p.execute(func() { p.balancer.ReceiveOverload(p.now(), server, delay) })
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,7 @@
-// Package proxy runs the module on sockets: one event loop with everything that decides, and what must not
-// block it beside it.
+// Package proxy runs the balancer of package choice on real sockets. It owns the event loop and everything that lives on
+// it (timers, connections, sessions, the directory of servers), and starts the work that would block the loop beside it:
+// connects to servers, the watch of the list of servers, and messages between proxies. It also reloads the configuration
+// (SIGHUP) and ends the process in an orderly way (SIGTERM). Which server a session goes to is decided in package choice.
 package proxy
 
 import (
@@ -27,108 +29,108 @@
 )
 
 const (
-	memoryShare    = 0.75    // of the limit, for what the runtime counts
-	keptSockets    = 32      // for discovery, the loop and what the runtime opens
-	maxUnsentBytes = 1 << 18 // bytes for one slow reader
-	noteSpan       = time.Second
-	sweeps         = 10 // in a note's span
+	memoryLimitShare = 0.75        // fraction of the memory limit that the Go runtime may use; the rest is for what it does not count
+	reservedSockets  = 32          // file descriptors kept back for discovery, the event loop and the Go runtime
+	maxUnsentBytes   = 1 << 18     // bytes buffered for one connection whose peer reads slowly
+	reportInterval   = time.Second // between publications of the session tally; also between reports of one server's slow messages
+	sweepsPerReport  = 10          // session sweeps per reportInterval
 )
 
-// startPatience is how long calls of the start that fail for a moment are made again.
-const startPatience = 10 * time.Second
+// startRetryLimit is how long temporary failures to open a socket are retried at the start.
+const startRetryLimit = 10 * time.Second
 
-// stopPatience is how long the event loop may take to end.
-const stopPatience = time.Second
+// stopTimeout is how long stopLoop waits for the event loop to end.
+const stopTimeout = time.Second
 
-// Proxy is one proxy.
+// Proxy is one proxy. Once the event loop runs, fields that change are used on the loop only.
 type Proxy struct {
-	log             zerolog.Logger
-	failures        *failure.Log
-	start           time.Time
-	loop            *eventloop.Loop
-	depth           int
-	waiting         []func()
-	timers          *timers.Timers
-	alarm           *time.Timer
-	connectionLimit *socket.ConnectionLimit
-	balancer        *choice.Balancer
-	ready           chan struct{} // closed once the loop runs
-	begin           func()        // startBalancer with what the configuration says
-	table           *exchange.Table
-	clients         *clients.Clients
-	connector       *servers.Connector
-	watcher         *discovery.Watcher
-	directory       *directory
-	revision        uint64
-	failed          int // watches in a row
-	peers           *peers.Conn
-	share           func([]sharing.SessionCount) // nil where nothing is shared
-	phase           phase
-	lastEvent       time.Duration   // when the event at hand began
-	standstill      standstill      // the last one
-	came            bool            // a client has connected since the last look at what is left
-	endsBy          time.Duration   // once nothing new is taken: how long last lines have
-	reloading       chan struct{}   // holds the one configuration that is being taken over
-	left            chan struct{}   // closed when the process is to end with its connections as they are
-	at              start.Addresses // by the configuration as read last
-	limits          start.Limits    // the same
-	terms           *terms          // the same
-	text            []byte          // that configuration
-	settings        []byte          // and its settings
+	log               zerolog.Logger
+	failures          *failure.Log
+	startedAt         time.Time
+	loop              *eventloop.Loop
+	eventDepth        int      // nested events in progress
+	deferredCalls     []func() // to run at the end of the current event
+	timers            *timers.Timers
+	wakeTimer         *time.Timer // runs timers when the next one is due
+	connectionLimit   *socket.ConnectionLimit
+	balancer          *choice.Balancer
+	ready             chan struct{} // closed once the event loop runs and the balancer exists
+	beginBalancing    func()        // startBalancer with the seed and the cached list of the configuration
+	table             *exchange.Table
+	clients           *clients.Clients
+	connector         *servers.Connector
+	watcher           *discovery.Watcher
+	directory         *directory
+	revision          uint64 // of the current list of servers
+	failedWatches     int    // watches of the list that failed in a row
+	peers             *peers.Conn
+	publishFacts      func([]sharing.SessionCount) // nil if the tally of sessions is not published
+	phase             phase
+	lastEventAt       time.Duration    // when the current event began, since the start
+	standstill        standstill       // the latest one
+	connectionArrived bool             // a client has connected since the last check in endWhenIdle
+	closingDeadline   time.Duration    // in phase closing: until when final lines may still be sent
+	reloading         chan struct{}    // semaphore of one: a reload is in progress
+	exitNow           chan struct{}    // closed when Run is to return with the open connections left as they are
+	addresses         start.Addresses  // of the current configuration
+	limits            start.Limits     // of the current configuration
+	settings          *runtimeSettings // of the current configuration
+	configText        []byte           // the current configuration
+	settingsText      []byte           // the "settings" part of configText
 }
 
-// New makes a proxy from the text of its configuration.
-func New(text []byte, log zerolog.Logger) (*Proxy, error) {
-	c, err := readStartConfig(text)
+// New makes a proxy from the text of its configuration. It opens no sockets; Run does.
+func New(configText []byte, log zerolog.Logger) (*Proxy, error) {
+	config, err := readStartConfig(configText)
 	if err != nil {
 		return nil, err
 	}
 	p := &Proxy{
-		log:       log,
-		failures:  failure.NewLog(log),
-		start:     time.Now(),
-		at:        c.addresses,
-		limits:    c.limits,
-		terms:     c.terms,
-		text:      text,
-		settings:  c.settings,
-		revision:  c.known.Revision,
-		ready:     make(chan struct{}),
-		left:      make(chan struct{}),
-		reloading: make(chan struct{}, 1),
+		log:          log,
+		failures:     failure.NewLog(log),
+		startedAt:    time.Now(),
+		addresses:    config.addresses,
+		limits:       config.limits,
+		settings:     config.settings,
+		configText:   configText,
+		settingsText: config.settingsText,
+		revision:     config.known.Revision,
+		ready:        make(chan struct{}),
+		exitNow:      make(chan struct{}),
+		reloading:    make(chan struct{}, 1),
 	}
-	p.connectParts()
-	p.begin = func() { p.startBalancer(c.seed, c.known) }
+	p.buildComponents()
+	p.beginBalancing = func() { p.startBalancer(config.seed, config.known) }
 	return p, nil
 }
 
-// startConfig is a configuration as it is read at the start.
+// startConfig is a parsed configuration file.
 type startConfig struct {
-	addresses start.Addresses
-	limits    start.Limits
-	settings  []byte
-	terms     *terms
-	seed      int64
-	known     discovery.List // the servers as held last
+	addresses    start.Addresses
+	limits       start.Limits
+	settingsText []byte
+	settings     *runtimeSettings
+	seed         int64
+	known        discovery.List // the list of servers that was cached when the file was written
 }
 
-func readStartConfig(text []byte) (*startConfig, error) {
-	c := &startConfig{}
-	knownText, settings, err := start.File(text, &c.addresses, &c.limits, &c.seed)
+func readStartConfig(configText []byte) (*startConfig, error) {
+	config := &startConfig{}
+	knownText, settingsText, err := start.ParseFile(configText, &config.addresses, &config.limits, &config.seed)
 	if err != nil {
 		return nil, err
 	}
-	c.settings = settings
-	if c.terms, err = read(settings); err != nil {
+	config.settingsText = settingsText
+	if config.settings, err = parseSettings(settingsText); err != nil {
 		return nil, err
 	}
-	if c.known, err = parseKnown(knownText); err != nil {
+	if config.known, err = parseKnown(knownText); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	return c, nil
+	return config, nil
 }
 
-// parseKnown reads the list of servers as held last, which stands for a complete one; without any it is empty.
+// parseKnown parses the cached list of servers. The list counts as complete; without text it is empty.
 func parseKnown(text []byte) (discovery.List, error) {
 	var known discovery.List
 	if len(text) > 0 {
@@ -141,77 +143,85 @@
 	return known, nil
 }
 
-// connectParts makes all that runs on the event loop, but for the balancer, whose clock starts with the loop.
-func (p *Proxy) connectParts() {
-	t := p.terms
-	p.timers = timers.New(p.now, p.wake)
-	p.connectionLimit = socket.NewConnectionLimit(p.limits.Sockets - keptSockets)
-	p.directory = newDirectory(t.zones, startClock{began: p.start, now: p.now, wall: time.Now}, t.list.OnlyDrainsExclude, t.models)
-	p.connector = servers.NewConnector(p.execute, p.connectionLimit, p.take, t.connect, p.failures)
-	dialer := servers.New(p.connector, p.directory, p.timers, p.connectionLimit, p.now, p.whenListIsKnown, p.log)
-	after := func(d time.Duration, call func()) { p.timers.After(d, call) }
-	delays := exchange.NewDelays(t.mark, noteSpan, t.tellsLoad, t.tellsDelay)
-	p.table = exchange.NewTable(dialer, p.now, p.later, after, t.connect, t.still, delays)
-	p.clients = clients.New(p.table, p.timers, p.connectionLimit, p.now, t.hello, p.directory.holder, t.listenerIDs,
-		t.tenantIDs, t.groups, p.log)
-	p.watcher = discovery.New(p.at.Discovery, t.ask, t.answer, p.execute, p.listed, p.watchFailed)
+// buildComponents makes everything that runs on the event loop except the balancer, which startBalancer makes once the
+// loop runs.
+func (p *Proxy) buildComponents() {
+	settings := p.settings
+	p.timers = timers.New(p.now, p.scheduleTimers)
+	p.connectionLimit = socket.NewConnectionLimit(p.limits.Sockets - reservedSockets)
+	p.directory = newDirectory(settings.zones, startClock{processStart: p.startedAt, sinceStart: p.now, wallClock: time.Now},
+		settings.list.OnlyDrainsExclude, settings.learnModels)
+	p.connector = servers.NewConnector(p.execute, p.connectionLimit, p.take, settings.connectTimeout, p.failures)
+	dialer := servers.New(p.connector, p.directory, p.timers, p.connectionLimit, p.now, p.whenListCurrent, p.log)
+	after := func(delay time.Duration, callback func()) { p.timers.After(delay, callback) }
+	delays := exchange.NewDelays(settings.slowMessageThreshold, reportInterval, settings.serversReportLoad, settings.serversReportDelay)
+	p.table = exchange.NewTable(dialer, p.now, p.afterEvent, after, settings.connectTimeout, settings.serverSilenceLimit, delays)
+	p.clients = clients.New(p.table, p.timers, p.connectionLimit, p.now, settings.helloTimeout, p.directory.listedID,
+		settings.listenerIDs, settings.tenantIDs, settings.hasGroups, p.log)
+	p.watcher = discovery.New(p.addresses.Discovery, settings.discoveryConnectTimeout, settings.watchAnswerTimeout, p.execute,
+		p.applyList, p.handleWatchFailure)
 }
 
-// prepare opens what the event loop does not.
-func (p *Proxy) prepare() (err error) {
+// openListeners sets the memory limit and opens the socket for peer messages and the event loop with the listener for
+// clients. Temporary failures are retried for startRetryLimit.
+func (p *Proxy) openListeners() (err error) {
 	p.limitMemory(p.limits)
-	err = failure.RetryFor(startPatience, failure.Listen, p.failures, func() (err error) {
-		p.peers, err = p.listenPeers(p.at, p.terms)
+	err = failure.RetryFor(startRetryLimit, failure.Listen, p.failures, func() (err error) {
+		p.peers, err = p.listenPeers(p.addresses, p.settings)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	return failure.RetryFor(startPatience, failure.Listen, p.failures, func() (err error) {
-		p.loop, err = eventloop.Open(p.at.Listen, p, p.failures)
+	return failure.RetryFor(startRetryLimit, failure.Listen, p.failures, func() (err error) {
+		p.loop, err = eventloop.Open(p.addresses.Listen, p, p.failures)
 		return err
 	})
 }
 
-// startBalancer makes the balancer and begins what is done again and again, once the event loop runs.
+// startBalancer makes the balancer, gives it the cached list of servers and starts the periodic work. It runs on the event
+// loop.
 func (p *Proxy) startBalancer(seed int64, known discovery.List) {
-	t := p.terms
-	p.balancer = choice.New(front{p.table, p}, rand.New(rand.NewSource(seed)), t.listeners, t.dials, t.budget,
-		t.list, t.cold, t.words)
+	t := p.settings
+	p.balancer = choice.New(balancerFront{p.table, p}, rand.New(rand.NewSource(seed)), t.listeners, t.dials, t.budget,
+		t.list, t.cold, t.peerReports)
 	p.table.Serve(p.balancer)
-	if t.pushed {
+	if t.listPushed {
 		p.clients.DelayPings()
-		p.timers.After(discovery.StalenessLimit/2, p.clients.AnswerPings) // a discovery that says nothing must not keep it out
+		// A discovery service that stays silent must not keep the proxy out of rotation.
+		p.timers.After(discovery.StalenessLimit/2, p.clients.AnswerPings)
 	}
 	p.balancer.ApplyList(p.now(), choice.ListCached, p.directory.entriesOf(known))
-	p.sweep()
-	if p.share != nil {
-		p.shareHeld()
+	p.sweepSessions()
+	if p.publishFacts != nil {
+		p.startTally()
 	}
 }
 
-// By the protocol page.
+// Times that the protocol page fixes.
 const (
-	lineSpan          = 2 * time.Second        // clients of open sessions send a line so often
-	maxDialTimeout    = 3 * time.Second        // a kill follows no sooner after SIGTERM than that or the longest dial timeout,
-	killMargin        = 700 * time.Millisecond // and this
-	arrivalsAfterTerm = 400 * time.Millisecond // after SIGTERM, new connections
+	clientLineInterval = 2 * time.Second        // clients of open sessions send a line at this interval
+	maxDialTimeout     = 3 * time.Second        // SIGKILL follows SIGTERM after at least this or the longest dial timeout, if less,
+	killMargin         = 700 * time.Millisecond // plus this margin
+	arrivalsAfterTerm  = 400 * time.Millisecond // new connections may still arrive for this long after SIGTERM
 )
 
 const (
-	maxSilence   = lineSpan / 2       // a session that brings nothing back must be ended or moved in seven seconds
-	maxHelloWait = maxDialTimeout / 2 // a client that asks for nothing
+	maxServerSilence = clientLineInterval / 2 // a session whose server is silent must be ended or moved within 7 s
+	maxHelloWait     = maxDialTimeout / 2     // for a client that connects and does not ask for a session
 )
 
+// limitMemory sets the Go runtime's memory limit and GOMAXPROCS for the whole process.
 func (p *Proxy) limitMemory(limits start.Limits) {
-	debug.SetMemoryLimit(int64(memoryShare * float64(limits.MemoryMB) * (1 << 20)))
-	// One more than the cores: while the loop waits in the kernel, connects and discovery go on.
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(limits.MemoryMB) * (1 << 20)))
+	// One more than the cores: while the event loop blocks in the kernel, connects and discovery continue.
 	runtime.GOMAXPROCS(max(int(limits.Cores), 1) + 1)
 }
 
-// Run serves until the process is told to leave and has nothing left to do.
+// Run opens the sockets and serves until Leave was called and nothing is left to do. It returns an error if a socket
+// can't be opened or the event loop fails.
 func (p *Proxy) Run() error {
-	if err := p.prepare(); err != nil {
+	if err := p.openListeners(); err != nil {
 		return err
 	}
 	p.connector.Loop = p.loop
@@ -221,97 +231,100 @@
 	select {
 	case err := <-served:
 		return err
-	case <-p.left:
+	case <-p.exitNow:
 		return nil
 	}
 }
 
-// serve begins to serve, on the event loop.
+// serve is the first call on the event loop: it starts the balancer and reports the proxy as ready.
 func (p *Proxy) serve() {
-	p.enter()
-	defer p.leave()
-	p.begin()
+	p.beginEvent()
+	defer p.endEvent()
+	p.beginBalancing()
 	close(p.ready)
-	p.log.Info().Str("listen", p.at.Listen).Int("sockets", p.connectionLimit.Free()).Msg("serving")
+	p.log.Info().Str("listen", p.addresses.Listen).Int("sockets", p.connectionLimit.Free()).Msg("serving")
 }
 
-// stopLoop ends the event loop and what is open there.
+// stopLoop ends the event loop with all its connections, and waits at most stopTimeout for it.
 func (p *Proxy) stopLoop() {
 	p.loop.Stop()
 	select {
 	case <-p.loop.Done():
-	case <-time.After(stopPatience):
+	case <-time.After(stopTimeout):
 		p.log.Warn().Msg("the event loop has not stopped in time")
 	}
 }
 
-func (p *Proxy) now() time.Duration { return time.Since(p.start) }
+// now is the time since the proxy was made, by the monotonic clock.
+func (p *Proxy) now() time.Duration { return time.Since(p.startedAt) }
 
-// linger is how long a connection with a last line waits for its peer's end.
-func (p *Proxy) linger() time.Duration { return p.terms.patience / 2 }
+// lingerTimeout is how long a connection whose final line was sent waits for its peer to close.
+func (p *Proxy) lingerTimeout() time.Duration { return p.settings.longestDialTimeout / 2 }
 
-// The event loop.
-
-func (p *Proxy) enter() {
-	if p.depth == 0 {
-		p.noteEvent()
+// beginEvent must be called at the start of each event on the loop, and endEvent at its end. Events may nest.
+func (p *Proxy) beginEvent() {
+	if p.eventDepth == 0 {
+		p.detectStandstill()
 	}
-	p.depth++
+	p.eventDepth++
 }
 
-// leave calls what had to wait for the end of the event.
-func (p *Proxy) leave() {
-	for p.depth == 1 && len(p.waiting) > 0 {
-		call := p.waiting[0]
-		p.waiting = p.waiting[1:]
-		call()
+// endEvent runs the calls that afterEvent has deferred, at the end of the outermost event.
+func (p *Proxy) endEvent() {
+	for p.eventDepth == 1 && len(p.deferredCalls) > 0 {
+		callback := p.deferredCalls[0]
+		p.deferredCalls = p.deferredCalls[1:]
+		callback()
 	}
-	p.depth--
+	p.eventDepth--
 }
 
-// later calls back at the end of the event at hand.
-func (p *Proxy) later(call func()) { p.waiting = append(p.waiting, call) }
+// afterEvent defers a call to the end of the current event.
+func (p *Proxy) afterEvent(callback func()) { p.deferredCalls = append(p.deferredCalls, callback) }
 
-// execute calls back on the loop, from anywhere.
-func (p *Proxy) execute(call func()) {
+// execute runs a call on the event loop as an event of its own; it may be called from any goroutine and does not wait.
+func (p *Proxy) execute(callback func()) {
 	p.loop.Execute(func() {
-		p.enter()
-		defer p.leave()
-		call()
+		p.beginEvent()
+		defer p.endEvent()
+		callback()
 	})
 }
 
-// wake asks for a run of the timers.
-func (p *Proxy) wake(after time.Duration) {
-	if p.alarm == nil {
-		p.alarm = time.AfterFunc(after, func() { p.execute(p.timers.Run) })
+// scheduleTimers has the timers run on the event loop after a delay; an earlier request is replaced.
+func (p *Proxy) scheduleTimers(delay time.Duration) {
+	if p.wakeTimer == nil {
+		p.wakeTimer = time.AfterFunc(delay, func() { p.execute(p.timers.Run) })
 		return
 	}
-	p.alarm.Reset(after)
+	p.wakeTimer.Reset(delay)
 }
 
-// sweep looks after sessions that wait for messages.
-func (p *Proxy) sweep() {
-	p.table.Sweep(sweepEvery)
-	p.timers.After(sweepEvery, p.sweep)
+// sweepSessions checks sessions that wait for a message from their server, once per sweepInterval.
+func (p *Proxy) sweepSessions() {
+	p.table.Sweep(sweepInterval)
+	p.timers.After(sweepInterval, p.sweepSessions)
 }
 
-// front is what the module asks of the proxy.
-type front struct {
+// balancerFront implements choice.Front, what the balancer calls: dials and answers by the table of sessions, the rest by
+// the proxy.
+type balancerFront struct {
 	*exchange.Table
-	p *Proxy
+	proxy *Proxy
 }
 
-func (f front) PublishOverload(at choice.ServerID, delay time.Duration) {
-	if f.p.peers != nil {
-		f.p.peers.Send(benchwire.AppendWord(nil, at, delay))
+func (f balancerFront) PublishOverload(server choice.ServerID, delay time.Duration) {
+	if f.proxy.peers != nil {
+		f.proxy.peers.Send(benchwire.AppendWord(nil, server, delay))
 	}
 }
 
-func (f front) StartTimer(after time.Duration, token choice.TimerToken) {
-	f.p.timers.After(after, func() { f.p.balancer.HandleTimer(f.p.now(), token) })
+func (f balancerFront) StartTimer(delay time.Duration, token choice.TimerToken) {
+	f.proxy.timers.After(delay, func() { f.proxy.balancer.HandleTimer(f.proxy.now(), token) })
 }
 
-func (f front) SubscribeList() { f.p.watcher.Watch(f.p.revision) }
+func (f balancerFront) SubscribeList() { f.proxy.watcher.Watch(f.proxy.revision) }
 
-func (f front) Log(text string) { f.p.log.Info().Str("from", "choice").Msg(f.p.directory.named(text)) }
+func (f balancerFront) Log(text string) {
+	f.proxy.log.Info().Str("from", "choice").Msg(f.proxy.directory.nameServers(text))
+}
--- a/internal/proxy/ready_test.go
+++ b/internal/proxy/ready_test.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	restarted = 20               // processes at once
-	readyIn   = 10 * time.Second // nine in ten of them, by the operators' terms
+	restartedProxies = 20               // proxies started at once
+	readyLimit       = 10 * time.Second // for nine in ten of them, by the operators' requirements
 )
 
-// readyAfter is how long it takes until a connection to the address has PING answered, as the front asks, again and again.
-func readyAfter(address string, most time.Duration) time.Duration {
+// timeUntilReady is how long it takes, at most limit, until PING on a new connection is answered. It polls as the
+// load balancer in front of the proxies does.
+func timeUntilReady(address string, limit time.Duration) time.Duration {
 	began := time.Now()
-	for time.Since(began) < most {
-		if conn, err := net.DialTimeout("tcp", address, most); err == nil {
-			conn.SetDeadline(began.Add(most))
+	for time.Since(began) < limit {
+		if conn, err := net.DialTimeout("tcp", address, limit); err == nil {
+			conn.SetDeadline(began.Add(limit))
 			fmt.Fprint(conn, "PING\r\n")
 			answer, _ := bufio.NewReader(conn).ReadString('\n')
 			conn.Close()
@@ -32,35 +33,35 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return most
+	return limit
 }
 
-// TestRestartedAtOnce: proxies that start together are ready in time, nine in ten of them, whether their lists are pushed
-// or asked for, and whatever discovery does meanwhile.
+// TestRestartedAtOnce checks that of proxies that start together nine in ten are ready within readyLimit, with pushed lists
+// and with requested ones, and whatever discovery does meanwhile.
 func TestRestartedAtOnce(t *testing.T) {
-	for mode, set := range map[string][]string{
+	for mode, replacements := range map[string][]string{
 		"asked":  {`"mustAskIn":4000`, `"mustAskIn":120000`},
 		"pushed": {`"ask"`, `"push"`, `"mustAskIn":4000`, `"stopSendingWithin":60000`, `"dialTimeout":800`, `"dialTimeout":20000`},
 	} {
-		for name, answer := range map[string]func(c call){
-			"answers":      func(c call) { c.opens(entry(1, "127.0.0.1:1", "ready")) },
+		for name, answer := range map[string]func(c discoveryCall){
+			"answers":      func(c discoveryCall) { c.sendFirstList(listWithOneServer(1, "127.0.0.1:1", "ready")) },
 			"resets":       failedCalls[0],
 			"answers 503":  failedCalls[1],
-			"says nothing": func(call) {},
+			"says nothing": func(discoveryCall) {},
 		} {
 			t.Run(mode+", discovery "+name, func(t *testing.T) {
 				t.Parallel()
-				discovery, calls := desk(t)
+				discovery, calls := startManualDiscovery(t)
 				go func() {
-					for c := range calls { // never closed; it ends with the test program
+					for c := range calls { // calls is never closed; the goroutine ends with the test program
 						answer(c)
 					}
 				}()
-				took := make(chan time.Duration, restarted)
+				took := make(chan time.Duration, restartedProxies)
 				var proxies []*Proxy
-				for range restarted {
-					address := free(t)
-					text := strings.NewReplacer(set...).Replace(fmt.Sprintf(configuration, address, discovery, 256))
+				for range restartedProxies {
+					address := freeAddress(t)
+					text := strings.NewReplacer(replacements...).Replace(fmt.Sprintf(configuration, address, discovery, 256))
 					p, err := New([]byte(text), zerolog.Nop())
 					if err != nil {
 						t.Fatal(err)
@@ -70,7 +71,7 @@
 							t.Error(err)
 						}
 					}()
-					go func() { took <- readyAfter(address, readyIn) }()
+					go func() { took <- timeUntilReady(address, readyLimit) }()
 					proxies = append(proxies, p)
 				}
 				t.Cleanup(func() {
@@ -80,7 +81,7 @@
 							select {
 							case <-p.ready:
 								p.stopLoop()
-							case <-time.After(readyIn):
+							case <-time.After(readyLimit):
 								t.Error("the event loop of a proxy does not run")
 							}
 						})
@@ -88,17 +89,17 @@
 					stops.Wait()
 				})
 				late, longest := 0, time.Duration(0)
-				for range restarted {
+				for range restartedProxies {
 					each := <-took
 					longest = max(longest, each)
-					if each >= readyIn {
+					if each >= readyLimit {
 						late++
 					}
 				}
-				if late*10 > restarted {
-					t.Errorf("%d of %d are not ready after %v", late, restarted, readyIn)
+				if late*10 > restartedProxies {
+					t.Errorf("%d of %d proxies are not ready after %v", late, restartedProxies, readyLimit)
 				}
-				t.Logf("the last of %d is ready after %v", restarted, longest)
+				t.Logf("the last of %d proxies is ready after %v", restartedProxies, longest)
 			})
 		}
 	}
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -11,81 +11,84 @@
 	"chalkferry/internal/peers"
 )
 
-// Reload takes over what may change of a new configuration: the settings, discovery's address, whom words go to, and
-// the limits. The whole file is checked as at a start, and one that is wrong changes nothing. Sessions go on. It
-// returns once the loop has taken all over, between two events.
-func (p *Proxy) Reload(text []byte) error {
-	next, err := New(text, zerolog.Nop())
+// Reload applies those parts of a new configuration that may change while the proxy runs: the settings, the address of
+// discovery, the addresses that overload reports are sent to, and the limits. The whole file is checked as at the start,
+// and an invalid one changes nothing. Sessions continue. It returns once the event loop has applied everything, between two
+// events.
+func (p *Proxy) Reload(configText []byte) error {
+	next, err := New(configText, zerolog.Nop())
 	if err != nil {
 		return err
 	}
 	<-p.ready
-	p.reloading <- struct{}{} // one after the other: two at once would open the same end for words
+	p.reloading <- struct{}{} // one at a time: two at once would open the same socket for overload reports
 	defer func() { <-p.reloading }()
-	receives := make(chan bool)
-	p.execute(func() { receives <- p.peers != nil })
-	var end *peers.Conn
-	if !<-receives { // opened before anything changes, as it may fail; nothing else opens or closes one meanwhile
-		if end, err = p.listenPeers(next.at, next.terms); err != nil {
+	peersOpen := make(chan bool)
+	p.execute(func() { peersOpen <- p.peers != nil })
+	var endpoint *peers.Conn
+	if !<-peersOpen { // opened before anything changes, as it may fail; no other reload opens or closes one meanwhile
+		if endpoint, err = p.listenPeers(next.addresses, next.settings); err != nil {
 			return err
 		}
 	}
-	taken := make(chan struct{})
+	applied := make(chan struct{})
 	p.execute(func() {
-		defer close(taken)
-		differ := changed(p.text, text)
-		p.text = text
+		defer close(applied)
+		changedNames := changedStartFields(p.configText, configText)
+		p.configText = configText
 		p.limitMemory(next.limits)
 		p.connectionLimit.Take(p.limits.Sockets - next.limits.Sockets)
 		p.limits = next.limits
-		if end != nil {
-			p.peers = end
-			differ = slices.DeleteFunc(differ, func(name string) bool { return name == "peer_listen" })
+		if endpoint != nil {
+			p.peers = endpoint
+			changedNames = slices.DeleteFunc(changedNames, func(name string) bool { return name == "peer_listen" })
 		}
-		settings := !bytes.Equal(compact(p.settings), compact(next.settings))
-		if settings {
-			p.change(next.terms)
-			p.settings = next.settings
+		settingsChanged := !bytes.Equal(compact(p.settingsText), compact(next.settingsText))
+		if settingsChanged {
+			p.applySettings(next.settings)
+			p.settingsText = next.settingsText
 		}
 		if p.peers != nil {
-			p.peers.SetDestinations(next.at.PeersAll, next.at.Peers)
+			p.peers.SetDestinations(next.addresses.PeersAll, next.addresses.Peers)
 		}
-		p.at.PeersAll, p.at.Peers = next.at.PeersAll, next.at.Peers
-		if next.at.Discovery != p.at.Discovery {
-			// Asked at once: that the watch at hand ends may take long, and so may the pause after one that failed.
-			p.at.Discovery, p.failed = next.at.Discovery, 0
-			p.watcher.SetAddress(next.at.Discovery)
+		p.addresses.PeersAll, p.addresses.Peers = next.addresses.PeersAll, next.addresses.Peers
+		if next.addresses.Discovery != p.addresses.Discovery {
+			// Subscribe at once: the current watch may take long to end, and so may the pause after a failed one.
+			p.addresses.Discovery, p.failedWatches = next.addresses.Discovery, 0
+			p.watcher.SetAddress(next.addresses.Discovery)
 			p.balancer.ResubscribeList(p.now())
 		}
-		p.log.Info().Str("discovery", p.at.Discovery).Bool("settings", settings).Strs("at_next_start", differ).
+		p.log.Info().Str("discovery", p.addresses.Discovery).Bool("settings", settingsChanged).Strs("at_next_start", changedNames).
 			Msg("configuration read again")
 	})
-	<-taken
+	<-applied
 	return nil
 }
 
-// change takes other terms, on the loop between two events. Sessions go on: the module keeps each by the terms it came
-// under, and lines that are out are answered by those who have them.
-func (p *Proxy) change(t *terms) {
-	p.terms = t
-	p.connector.Change(t.connect)
-	p.table.Change(t.connect, t.still, t.mark, t.tellsLoad, t.tellsDelay)
-	p.clients.Change(t.hello, t.listenerIDs, t.tenantIDs, t.groups)
-	p.directory.change(t.zones, t.list.OnlyDrainsExclude, t.models)
-	p.watcher.SetTimeouts(t.ask, t.answer)
-	if !t.words.Enabled && p.peers != nil {
+// applySettings switches to new settings, on the event loop between two events. Sessions continue: the balancer keeps each
+// session under the settings that it arrived under, and first lines that were sent are still answered by their servers.
+func (p *Proxy) applySettings(settings *runtimeSettings) {
+	p.settings = settings
+	p.connector.Change(settings.connectTimeout)
+	p.table.Change(settings.connectTimeout, settings.serverSilenceLimit, settings.slowMessageThreshold,
+		settings.serversReportLoad, settings.serversReportDelay)
+	p.clients.Change(settings.helloTimeout, settings.listenerIDs, settings.tenantIDs, settings.hasGroups)
+	p.directory.applySettings(settings.zones, settings.list.OnlyDrainsExclude, settings.learnModels)
+	p.watcher.SetTimeouts(settings.discoveryConnectTimeout, settings.watchAnswerTimeout)
+	if !settings.peerReports.Enabled && p.peers != nil {
 		p.peers.Close()
 		p.peers = nil
 	}
-	p.balancer.Reconfigure(p.now(), t.listeners, t.dials, t.budget, t.list, t.cold, t.words)
+	p.balancer.Reconfigure(p.now(), settings.listeners, settings.dials, settings.budget, settings.list,
+		settings.cold, settings.peerReports)
 }
 
-// changed names the parts of a configuration that differ and are read at a start only. The list of servers that
-// the file has is one for starts, too, but it differs each time.
-func changed(was, is []byte) []string {
+// changedStartFields names the top-level fields that differ between two configurations and are read at the start only. The
+// cached list of servers ("known") is left out, though read at the start only: it differs in every file.
+func changedStartFields(oldText, newText []byte) []string {
 	var parts [2]map[string]json.RawMessage
-	for i, text := range [][]byte{was, is} {
-		json.Unmarshal(text, &parts[i]) // both were read whole before
+	for i, text := range [][]byte{oldText, newText} {
+		json.Unmarshal(text, &parts[i]) // both texts were parsed before
 	}
 	names := maps.Clone(parts[0])
 	maps.Copy(names, parts[1])
@@ -98,8 +101,9 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
+// compact removes insignificant white space from JSON.
 func compact(text []byte) []byte {
-	var to bytes.Buffer
-	json.Compact(&to, text)
-	return to.Bytes()
+	var compacted bytes.Buffer
+	json.Compact(&compacted, text)
+	return compacted.Bytes()
 }
--- a/internal/proxy/rig_test.go
+++ b/internal/proxy/rig_test.go
@@ -30,8 +30,9 @@
 "invariants":{"mustAskIn":4000,"cold":20000,"coldFrom":0.2,"fallMultiple":3,"tipAfter":3000},
 "listeners":[{"name":"chat","dialTimeout":800,"handshakeTarget":200,"effect":"read_like","utility":1}]}}`
 
-// serve is a server of the test's own: it shows first lines, greets, echoes lines, and ends as a line asks it to.
-func serve(t *testing.T, first ...func(words []string)) string {
+// startEchoServer starts a server that passes the fields of each first line to onFirstLine, answers UP, echoes lines, and ends
+// the connection on BYE (after answering it) or CUT (with a reset). It returns the server's address.
+func startEchoServer(t *testing.T, onFirstLine ...func(words []string)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -49,8 +50,8 @@
 				for lines.Scan() {
 					switch text := lines.Text(); {
 					case strings.HasPrefix(text, "OPEN"):
-						for _, see := range first {
-							see(strings.Fields(text))
+						for _, inspect := range onFirstLine {
+							inspect(strings.Fields(text))
 						}
 						fmt.Fprint(conn, "UP 1\r\n")
 					case text == "BYE":
@@ -69,9 +70,10 @@
 	return listener.Addr().String()
 }
 
-// list is a discovery of the test's own, with one watch after another.
-func list(t *testing.T, lines <-chan string) string {
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// startDiscovery starts a discovery service that sends the lines of a channel on the current watch; an empty line ends the
+// watch. It returns the service's address.
+func startDiscovery(t *testing.T, lines <-chan string) string {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for {
 			select {
 			case line := <-lines:
@@ -86,26 +88,26 @@
 		}
 	}))
 	t.Cleanup(func() {
-		s.CloseClientConnections()
-		s.Close()
+		server.CloseClientConnections()
+		server.Close()
 	})
-	return s.Listener.Addr().String()
+	return server.Listener.Addr().String()
 }
 
-// desk is a discovery whose calls the test answers itself, as it likes.
-func desk(t *testing.T) (at string, calls chan call) {
+// startManualDiscovery starts a discovery service whose calls the test answers itself.
+func startManualDiscovery(t *testing.T) (address string, calls chan discoveryCall) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	calls = make(chan call, 64)
-	var taken []net.Conn // kept until the test's end: one that nothing holds is closed when its memory is collected
+	calls = make(chan discoveryCall, 64)
+	var accepted []net.Conn // kept until the end of the test: an unreferenced connection is closed by its finalizer
 	var mu sync.Mutex
 	t.Cleanup(func() {
 		l.Close()
 		mu.Lock()
 		defer mu.Unlock()
-		for _, conn := range taken {
+		for _, conn := range accepted {
 			conn.Close()
 		}
 	})
@@ -116,11 +118,11 @@
 				return
 			}
 			mu.Lock()
-			taken = append(taken, conn)
+			accepted = append(accepted, conn)
 			mu.Unlock()
 			go func() {
 				if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-					calls <- call{conn, time.Now()}
+					calls <- discoveryCall{conn, time.Now()}
 				}
 			}()
 		}
@@ -128,19 +130,20 @@
 	return l.Addr().String(), calls
 }
 
-// call is one of them.
-type call struct {
+// discoveryCall is one call to startManualDiscovery's service, and when its request was read.
+type discoveryCall struct {
 	net.Conn
-	at time.Time
+	receivedAt time.Time
 }
 
-// opens begins a watch with a first list.
-func (c call) opens(list string) {
+// sendFirstList answers the call with a watch that begins with a list.
+func (c discoveryCall) sendFirstList(list string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(list)+1, list)
 }
 
-// free is an address that nothing else takes before the proxy does: on 127.0.0.1 any connection out may get the port.
-func free(t *testing.T) string {
+// freeAddress returns an address that nothing else takes before the proxy does. It is not on 127.0.0.1, where any outgoing
+// connection may get the port.
+func freeAddress(t *testing.T) string {
 	for {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 16+os.Getpid()>>16&63, os.Getpid()>>8&255, 1+os.Getpid()&127))
 		if err != nil {
@@ -148,26 +151,28 @@
 		}
 		l.Close()
 		address := l.Addr().String()
-		if _, taken := handedOut.LoadOrStore(address, true); !taken {
+		if _, taken := usedAddresses.LoadOrStore(address, true); !taken {
 			return address
 		}
 	}
 }
 
-// handedOut has each address that free has returned: proxies share ports, so that two of tests beside one another would
-// both listen at one that is returned twice, and take each other's connections.
-var handedOut sync.Map
+// usedAddresses has each address that freeAddress has returned. Proxies share ports: two parallel tests with the same address
+// would both listen there and take each other's connections.
+var usedAddresses sync.Map
 
-// run starts a proxy with a list that names one server.
-func run(t *testing.T, sockets int) (p *Proxy, at string, lists chan string) {
-	p, at, lists, _ = runAs(t, "proxy", sockets)
+// startProxy starts a proxy in mode "proxy" with a list that names one echo server.
+func startProxy(t *testing.T, sockets int) (p *Proxy, address string, lists chan string) {
+	p, address, lists, _ = startProxyInMode(t, "proxy", sockets)
 	return
 }
 
-func runAs(t *testing.T, mode string, sockets int, first ...func([]string)) (p *Proxy, at string, lists chan string, ended chan error) {
+// startProxyInMode is startProxy with another mode; ended gets the result of Run.
+func startProxyInMode(t *testing.T, mode string, sockets int, onFirstLine ...func([]string)) (p *Proxy, address string,
+	lists chan string, ended chan error) {
 	lists = make(chan string, 8)
-	at = free(t)
-	text := strings.Replace(fmt.Sprintf(configuration, at, list(t, lists), sockets), `"proxy"`, fmt.Sprintf("%q", mode), 1)
+	address = freeAddress(t)
+	text := strings.Replace(fmt.Sprintf(configuration, address, startDiscovery(t, lists), sockets), `"proxy"`, fmt.Sprintf("%q", mode), 1)
 	p, err := New([]byte(text), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -182,106 +187,112 @@
 	t.Cleanup(func() {
 		p.stopLoop()
 	})
-	lists <- entry(1, serve(t, first...), "ready")
+	lists <- listWithOneServer(1, startEchoServer(t, onFirstLine...), "ready")
 	for range 500 {
 		ready := make(chan int, 1)
 		p.execute(func() { ready <- int(p.revision) })
 		if <-ready == 1 {
-			return p, at, lists, ended
+			return p, address, lists, ended
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the list is not taken")
+	t.Fatal("the list is not applied")
 	return
 }
 
-func entry(revision int, at, phase string) string {
+// listWithOneServer is a complete list with one server, s-1.
+func listWithOneServer(revision int, address, phase string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[{"id":"s-1","host_port":%q,"locality":"a",`+
-		`"phase":%q,"size":1}]}`, revision, at, phase)
+		`"phase":%q,"size":1}]}`, revision, address, phase)
 }
 
-// dialog is a client's connection.
-type dialog struct {
+// clientConn is a client's connection to the proxy.
+type clientConn struct {
 	net.Conn
 	*bufio.Reader
 	t *testing.T
 }
 
-func connect(t *testing.T, at string) dialog {
-	conn, err := net.Dial("tcp", at)
+// connect opens a client connection with a deadline of 10 s for all reads and writes.
+func connect(t *testing.T, address string) clientConn {
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
 	t.Cleanup(func() { conn.Close() })
-	return dialog{conn, bufio.NewReader(conn), t}
+	return clientConn{conn, bufio.NewReader(conn), t}
 }
 
-func (d dialog) Read(p []byte) (int, error) { return d.Reader.Read(p) }
+func (d clientConn) Read(p []byte) (int, error) { return d.Reader.Read(p) }
 
-func (d dialog) say(text, want string) {
+// sendAndExpect sends text and checks the next line that comes.
+func (d clientConn) sendAndExpect(text, want string) {
 	d.t.Helper()
 	fmt.Fprint(d.Conn, text)
-	d.hear(want)
+	d.expectLine(want)
 }
 
-func (d dialog) hear(want string) {
+// expectLine checks the next line that comes.
+func (d clientConn) expectLine(want string) {
 	d.t.Helper()
 	if got, err := d.ReadString('\n'); got != want {
-		d.t.Fatalf("%q, %v, want %q", got, err, want)
+		d.t.Fatalf("got %q, %v, want %q", got, err, want)
 	}
 }
 
-// ends checks that nothing more comes but the end.
-func (d dialog) ends(want error) {
+// expectEnd checks that the connection ends with this error and no further byte.
+func (d clientConn) expectEnd(want error) {
 	d.t.Helper()
 	if n, err := d.Reader.Read(make([]byte, 1)); n > 0 || !errors.Is(err, want) {
-		d.t.Fatalf("%d bytes, %v, want %v", n, err, want)
+		d.t.Fatalf("got %d bytes, %v, want none and %v", n, err, want)
 	}
 }
 
-var sessions atomic.Int64
+// sessionCount numbers the sessions of all tests, so that each has an ID of its own.
+var sessionCount atomic.Int64
 
-// opening asks for a session with a new id.
-func opening() string {
-	return fmt.Sprintf("OPEN %x 2 c=chat,d=800,g=3\r\n", sessions.Add(1))
+// openLine is the first line of a session with a new ID.
+func openLine() string {
+	return fmt.Sprintf("OPEN %x 2 c=chat,d=800,g=3\r\n", sessionCount.Add(1))
 }
 
-// on calls on the proxy's loop and returns once that is through.
-func (r *rig) on(call func()) {
+// onLoop runs a call on the proxy's event loop and waits for its end.
+func (r *testProxy) onLoop(callback func()) {
 	done := make(chan struct{})
 	r.p.execute(func() {
 		defer close(done)
-		call()
+		callback()
 	})
 	<-done
 }
 
-// rig is a proxy with servers, a list and the way to them under the test's control.
-type rig struct {
+// testProxy is a proxy whose servers, list and connects are under the test's control.
+type testProxy struct {
 	*testing.T
 	p               *Proxy
-	at              string
+	address         string
 	lists           chan string
 	ended           chan error
 	freeConnections int
-	text            string // of its configuration
+	configText      string // of the configuration it started with
 }
 
-// rigged starts a proxy by the usual configuration with some parts replaced; the list names nothing yet.
-func rigged(t *testing.T, replace ...string) *rig {
+// startTestProxy starts a proxy from the usual configuration with some parts replaced (pairs of old and new text). Its list is
+// empty.
+func startTestProxy(t *testing.T, replace ...string) *testProxy {
 	lists := make(chan string, 8)
-	r := riggedAt(t, list(t, lists), replace...)
+	r := startTestProxyWithDiscovery(t, startDiscovery(t, lists), replace...)
 	r.lists = lists
 	return r
 }
 
-// riggedAt is the same with a discovery of its own.
-func riggedAt(t *testing.T, discovery string, replace ...string) *rig {
-	r := &rig{T: t, at: free(t), ended: make(chan error, 1)}
-	r.text = strings.NewReplacer(replace...).Replace(fmt.Sprintf(configuration, r.at, discovery, 256))
+// startTestProxyWithDiscovery is the same with the address of another discovery service.
+func startTestProxyWithDiscovery(t *testing.T, discovery string, replace ...string) *testProxy {
+	r := &testProxy{T: t, address: freeAddress(t), ended: make(chan error, 1)}
+	r.configText = strings.NewReplacer(replace...).Replace(fmt.Sprintf(configuration, r.address, discovery, 256))
 	var err error
-	if r.p, err = New([]byte(r.text), zerolog.Nop()); err != nil {
+	if r.p, err = New([]byte(r.configText), zerolog.Nop()); err != nil {
 		t.Fatal(err)
 	}
 	go func() { r.ended <- r.p.Run() }()
@@ -293,135 +304,140 @@
 	t.Cleanup(func() {
 		r.p.stopLoop()
 	})
-	r.until("the proxy's own first connection has ended", func() bool {
+	r.waitFor("all descriptors are free after the start", func() bool {
 		r.freeConnections = r.p.connectionLimit.Free()
-		return r.freeConnections == r.p.limits.Sockets-keptSockets
+		return r.freeConnections == r.p.limits.Sockets-reservedSockets
 	})
 	return r
 }
 
-// until waits for what the loop is to come to.
-func (r *rig) until(what string, is func() bool) {
+// waitFor waits up to 8 s for a condition, which it evaluates on the event loop.
+func (r *testProxy) waitFor(what string, condition func() bool) {
 	r.Helper()
-	for end := time.Now().Add(8 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		var got bool
-		if r.on(func() { got = is() }); got {
+	for deadline := time.Now().Add(8 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		var met bool
+		if r.onLoop(func() { met = condition() }); met {
 			return
 		}
 	}
-	r.Fatalf("in vain: %s", what)
+	r.Fatalf("not within 8 s: %s", what)
 }
 
-// listed tells servers and waits until the proxy has them.
-func (r *rig) listed(revision int, entries ...string) {
+// applyList sends a complete list and waits until the proxy has applied it.
+func (r *testProxy) applyList(revision int, entries ...string) {
 	r.Helper()
 	r.lists <- fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, revision, strings.Join(entries, ","))
-	r.until("the list is taken", func() bool { return int(r.p.revision) == revision })
+	r.waitFor("the list is applied", func() bool { return int(r.p.revision) == revision })
 }
 
-func member(id, at, phase string) string {
-	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","phase":%q,"size":1}`, id, at, phase)
+// serverEntry is a server's entry in a list.
+func serverEntry(id, address, phase string) string {
+	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","phase":%q,"size":1}`, id, address, phase)
 }
 
-// over checks that no session is left, that nothing is under way and that each descriptor has been given back.
-func (r *rig) over() {
+// expectIdle waits until no session and no connect is left and all descriptors are free.
+func (r *testProxy) expectIdle() {
 	r.Helper()
-	r.until("sessions, connects and descriptors are given back", func() bool {
+	r.waitFor("no session or connect is left and all descriptors are free", func() bool {
 		return r.p.table.Len() == 0 && r.p.connector.Out() == 0 && r.p.connectionLimit.Free() == r.freeConnections
 	})
 }
 
-// served has a dozen sessions come and go: where most dials come to something, one that does not is followed by another.
-func (r *rig) served(up string) {
+// warmUp opens and closes a dozen sessions, which get this answer. The balancer follows a failed dial by another one only where
+// most dials succeed.
+func (r *testProxy) warmUp(answer string) {
 	r.Helper()
 	for range 12 {
-		d := connect(r.T, r.at)
-		d.say(opening(), up)
+		d := connect(r.T, r.address)
+		d.sendAndExpect(openLine(), answer)
 		d.Close()
 	}
-	r.over()
+	r.expectIdle()
 }
 
-// stall has the loop stand still until it is released.
-func (r *rig) stall() (release func()) {
-	stands, goes := make(chan bool), make(chan bool)
+// stallLoop blocks the event loop until release is called.
+func (r *testProxy) stallLoop() (release func()) {
+	stalled, resume := make(chan bool), make(chan bool)
 	r.p.execute(func() {
-		stands <- true
-		<-goes
+		stalled <- true
+		<-resume
 	})
-	<-stands
-	return func() { close(goes) }
+	<-stalled
+	return func() { close(resume) }
 }
 
-// way holds connects after they stand and before the loop has them.
-type way struct {
-	reached, open chan bool
+// heldConnects controls connections that are established but not handed to the event loop yet: each is signaled on connected
+// and handed over after a send on handOver (or its close).
+type heldConnects struct {
+	connected, handOver chan bool
 }
 
-// way holds them; filled so that this machine takes nothing more for them, or, deep, takes it and can't send it.
-func (r *rig) way(filled, deep bool) *way {
-	w := &way{reached: make(chan bool, 64), open: make(chan bool)}
-	r.on(func() {
+// holdConnects holds all further connects. With fillSendBuffer the send buffer of each connection is filled, so that the kernel
+// accepts no more bytes for it; with roomForLine it is enlarged afterwards, so that the kernel accepts a line but can't send
+// it.
+func (r *testProxy) holdConnects(fillSendBuffer, roomForLine bool) *heldConnects {
+	held := &heldConnects{connected: make(chan bool, 64), handOver: make(chan bool)}
+	r.onLoop(func() {
 		r.p.connector.Dial = func(_ context.Context, address string) (net.Conn, error) {
-			conn, err := net.Dial("tcp", address) // it may stand at the very moment that it is given up
-			if err == nil && filled {
+			conn, err := net.Dial("tcp", address) // without the context: it may be established at the very moment that it is abandoned
+			if err == nil && fillSendBuffer {
 				conn.(*net.TCPConn).SetWriteBuffer(4 << 10)
-				for size := 1 << 16; size > 0; { // until this machine takes nothing more, not a byte
+				for size := 1 << 16; size > 0; { // until the kernel accepts not a single byte more
 					conn.SetWriteDeadline(time.Now().Add(20 * time.Millisecond))
 					if n, _ := conn.Write(bytes.Repeat([]byte{'x'}, size)); n < size {
 						size /= 16
 					}
 				}
 				err = conn.SetWriteDeadline(time.Time{})
-				if deep {
+				if roomForLine {
 					conn.(*net.TCPConn).SetWriteBuffer(1 << 20)
 				}
 			}
-			w.reached <- true
-			<-w.open
+			held.connected <- true
+			<-held.handOver
 			return conn, err
 		}
 	})
-	return w
+	return held
 }
 
-// slowConnects has connections stand up to so late, until it is taken back.
-func (r *rig) slowConnects(seed int64, most time.Duration) (takeBack func()) {
-	chance := rand.New(rand.NewSource(seed))
+// delayConnects delays each established connection by a random time below maxDelay, until restore is called.
+func (r *testProxy) delayConnects(seed int64, maxDelay time.Duration) (restore func()) {
+	random := rand.New(rand.NewSource(seed))
 	var mu sync.Mutex
-	var usual func(context.Context, string) (net.Conn, error)
-	r.on(func() {
-		usual = r.p.connector.Dial
+	var originalDial func(context.Context, string) (net.Conn, error)
+	r.onLoop(func() {
+		originalDial = r.p.connector.Dial
 		r.p.connector.Dial = func(_ context.Context, address string) (net.Conn, error) {
 			conn, err := net.Dial("tcp", address)
 			mu.Lock()
-			late := time.Duration(chance.Int63n(int64(most)))
+			delay := time.Duration(random.Int63n(int64(maxDelay)))
 			mu.Unlock()
-			time.Sleep(late)
+			time.Sleep(delay)
 			return conn, err
 		}
 	})
-	return func() { r.on(func() { r.p.connector.Dial = usual }) }
+	return func() { r.onLoop(func() { r.p.connector.Dial = originalDial }) }
 }
 
-// post is a server that keeps all bytes that reach it, and lets the test say what it does on a first line.
-type post struct {
-	at     string
-	does   func(conn *net.TCPConn, nth int, first string)
-	gone   func(conn net.Conn) // nil, or called at the end of each connection that asked
-	mu     sync.Mutex
-	seen   map[net.Conn]*bytes.Buffer
-	firsts int
-	ends   int
+// testServer is a server that records all bytes it receives. The test decides what it does on a first line.
+type testServer struct {
+	address          string
+	onFirstLine      func(conn *net.TCPConn, nth int, first string)
+	onEnd            func(conn net.Conn) // if not nil, called at the end of each connection that sent a first line
+	mu               sync.Mutex
+	received         map[net.Conn]*bytes.Buffer
+	firstLines       int
+	endedConnections int
 }
 
-func posted(t *testing.T, does func(conn *net.TCPConn, nth int, first string)) *post {
+func startTestServer(t *testing.T, onFirstLine func(conn *net.TCPConn, nth int, first string)) *testServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s := &post{at: l.Addr().String(), does: does, seen: map[net.Conn]*bytes.Buffer{}}
+	s := &testServer{address: l.Addr().String(), onFirstLine: onFirstLine, received: map[net.Conn]*bytes.Buffer{}}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -434,72 +450,73 @@
 	return s
 }
 
-func (s *post) read(conn *net.TCPConn) {
+func (s *testServer) read(conn *net.TCPConn) {
 	defer conn.Close()
-	kept := &bytes.Buffer{}
+	received := &bytes.Buffer{}
 	s.mu.Lock()
-	s.seen[conn] = kept
+	s.received[conn] = received
 	s.mu.Unlock()
-	buf, asked := make([]byte, 64<<10), false
+	buf, hadFirstLine := make([]byte, 64<<10), false
 	for {
 		n, err := conn.Read(buf)
 		s.mu.Lock()
-		kept.Write(buf[:n])
+		received.Write(buf[:n])
 		first, nth := "", 0
-		if i := bytes.IndexByte(kept.Bytes(), '\n'); i >= 0 && !asked {
-			asked = true
-			s.firsts++
-			first, nth = kept.String()[:i], s.firsts
+		if i := bytes.IndexByte(received.Bytes(), '\n'); i >= 0 && !hadFirstLine {
+			hadFirstLine = true
+			s.firstLines++
+			first, nth = received.String()[:i], s.firstLines
 		}
 		if err != nil {
-			s.ends++
+			s.endedConnections++
 		}
 		s.mu.Unlock()
-		if nth > 0 && s.does != nil {
-			s.does(conn, nth, first)
+		if nth > 0 && s.onFirstLine != nil {
+			s.onFirstLine(conn, nth, first)
 		}
 		if err != nil {
-			if asked && s.gone != nil {
-				s.gone(conn)
+			if hadFirstLine && s.onEnd != nil {
+				s.onEnd(conn)
 			}
 			return
 		}
 	}
 }
 
-// from numbers the first lines to come.
-func (s *post) from(nth int) {
+// numberFirstLinesFrom sets the number of the next first line.
+func (s *testServer) numberFirstLinesFrom(nth int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.firsts = nth - 1
+	s.firstLines = nth - 1
 }
 
-// got is what has reached the server but for the filling, how many first lines, and whether all connections ended.
-func (s *post) got() (text string, firsts int, allEnded bool) {
+// summary returns what the server has received without the bytes that filled the send buffer, the number of first lines, and
+// whether all connections have ended.
+func (s *testServer) summary() (text string, firstLines int, allEnded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, kept := range s.seen {
-		text += strings.Trim(kept.String(), "x")
+	for _, received := range s.received {
+		text += strings.Trim(received.String(), "x")
 	}
-	return text, s.firsts, s.ends == len(s.seen)
+	return text, s.firstLines, s.endedConnections == len(s.received)
 }
 
-// nothing waits until each connection has ended, when no byte can come any more, and checks that none has come.
-func (s *post) nothing(r *rig, connections int) {
+// expectNoBytes waits until at least that many connections have come and all have ended, and checks that nothing was received.
+func (s *testServer) expectNoBytes(r *testProxy, connections int) {
 	r.Helper()
-	r.until("the server's connections end", func() bool {
-		_, _, all := s.got()
+	r.waitFor("the server's connections end", func() bool {
+		_, _, allEnded := s.summary()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return all && len(s.seen) >= connections
+		return allEnded && len(s.received) >= connections
 	})
-	if text, _, _ := s.got(); text != "" {
-		r.Errorf("of a client that has left reaches the server: %q", text)
+	if text, _, _ := s.summary(); text != "" {
+		r.Errorf("the server receives %q of a client that has left", text)
 	}
 }
 
-// narrow is a server's listener that accepts when the test does, and takes little before anyone reads.
-func narrow(t *testing.T) net.Listener {
+// listenWithSmallBuffer opens a listener that the test accepts from, with a small receive buffer.
+func listenWithSmallBuffer(t *testing.T) net.Listener {
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
@@ -511,18 +528,18 @@
 	return l
 }
 
-// leaves are the ways in which a client goes.
-var leaves = map[string]func(d dialog){
-	"fin":   func(d dialog) { d.Conn.(*net.TCPConn).CloseWrite() },
-	"close": func(d dialog) { d.Conn.Close() },
-	"rst": func(d dialog) {
+// waysToLeave are the ways in which a client ends its connection.
+var waysToLeave = map[string]func(d clientConn){
+	"fin":   func(d clientConn) { d.Conn.(*net.TCPConn).CloseWrite() },
+	"close": func(d clientConn) { d.Conn.Close() },
+	"rst": func(d clientConn) {
 		d.Conn.(*net.TCPConn).SetLinger(0)
 		d.Conn.Close()
 	},
 }
 
-// handedOver waits until a connect that was begun has handed its connection over to the loop, which stands still.
-func (r *rig) handedOver() {
+// waitUntilHandedOver waits until a connect in progress has queued its connection for the stalled event loop.
+func (r *testProxy) waitUntilHandedOver() {
 	r.Helper()
 	stack := make([]byte, 1<<20)
 	for range 2000 {
@@ -532,5 +549,5 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	r.Fatal("no connection is handed over")
+	r.Fatal("the connection is not handed over")
 }
--- a/internal/proxy/share.go
+++ b/internal/proxy/share.go
@@ -6,26 +6,26 @@
 	"chalkferry/internal/sharing"
 )
 
-// Share has what this proxy holds published to the fleet, once in a note's span. It is to be called before Run;
-// publish must not wait for anything. Without it nothing is counted.
-func (p *Proxy) Share(publish func([]sharing.SessionCount)) { p.share = publish }
+// Share has the number of open sessions by server, listener and tenant published once per reportInterval. It must be called
+// before Run. publish runs on the event loop and must not block. Without Share nothing is counted.
+func (p *Proxy) Share(publish func([]sharing.SessionCount)) { p.publishFacts = publish }
 
-// shareHeld begins to publish what is held by server, listener and tenant.
-func (p *Proxy) shareHeld() { p.publishHeld(sharing.NewTally()) }
+// startTally starts the periodic publication of the tally of open sessions.
+func (p *Proxy) startTally() { p.publishTally(sharing.NewTally()) }
 
-// publishHeld walks over the open sessions, on the event loop, and comes again after a note's span.
-func (p *Proxy) publishHeld(tally *sharing.Tally) {
+// publishTally counts the open sessions, publishes the result and schedules itself again after reportInterval.
+func (p *Proxy) publishTally(tally *sharing.Tally) {
 	tally.Begin()
-	p.table.EachOpen(func(at choice.ServerID, of *line.Open) { tally.Add(at, of) })
-	p.share(tally.Finish(p.serverName))
-	p.timers.After(noteSpan, func() { p.publishHeld(tally) })
+	p.table.EachOpen(func(server choice.ServerID, session *line.Open) { tally.Add(server, session) })
+	p.publishFacts(tally.Finish(p.serverName))
+	p.timers.After(reportInterval, func() { p.publishTally(tally) })
 }
 
-// serverName is the name that a server came under.
-func (p *Proxy) serverName(at choice.ServerID) (name string, known bool) {
-	place := p.directory.servers[at]
-	if place == nil {
+// serverName returns the name under which a server is listed.
+func (p *Proxy) serverName(id choice.ServerID) (name string, known bool) {
+	server := p.directory.servers[id]
+	if server == nil {
 		return "", false
 	}
-	return place.name, true
+	return server.name, true
 }
--- a/internal/proxy/slopes_test.go
+++ b/internal/proxy/slopes_test.go
@@ -27,12 +27,12 @@
 	"chalkferry/internal/timers"
 )
 
-// Benchmarks behind docs/CAPACITY.md: the list on a proxy, its settings, and the sum over its open sessions.
+// Benchmarks for docs/CAPACITY.md: the cost of the list on a proxy, its settings, and the tally of its open sessions.
 // `chalkferry capacity fit` reads their output.
 
 const (
-	slopeSumServers = 500 // that the sessions are spread over
-	slopeTenants    = 64
+	slopeTallyServers = 500 // servers that the sessions are spread over
+	slopeTenants      = 64
 )
 
 var slopeServers = []int{100, 1000, 3000, 10000, 20000}
@@ -53,8 +53,8 @@
 	return d
 }
 
-// BenchmarkSlopeDirectoryDelta is what a change of one server costs besides the module: the entries, the servers that
-// have gone, and the count for the log.
+// BenchmarkSlopeDirectoryDelta measures what a change of one server costs outside the balancer: converting the entry, visiting
+// the servers that have gone, and the counts for the log.
 func BenchmarkSlopeDirectoryDelta(b *testing.B) {
 	for _, n := range slopeServers {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -63,12 +63,13 @@
 			for b.Loop() {
 				d.entriesOf(delta)
 				d.eachGone(func(choice.ServerID) {})
-				d.count()
+				d.countByStatus()
 			}
 		})
 	}
 }
 
+// BenchmarkSlopeDirectoryWholeList measures the same for a complete list, and the memory that the directory holds.
 func BenchmarkSlopeDirectoryWholeList(b *testing.B) {
 	for _, n := range slopeServers {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -77,14 +78,14 @@
 			for b.Loop() {
 				d.entriesOf(list)
 				d.eachGone(func(choice.ServerID) {})
-				d.count()
+				d.countByStatus()
 			}
 			b.ReportMetric(held, "held-B")
 		})
 	}
 }
 
-// BenchmarkSlopeConfiguration reads a whole configuration as a SIGHUP does, by the servers in its known list.
+// BenchmarkSlopeConfiguration measures parsing a configuration, as after SIGHUP, by the number of servers in its cached list.
 func BenchmarkSlopeConfiguration(b *testing.B) {
 	for _, n := range slopeServers {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -99,6 +100,7 @@
 	}
 }
 
+// slopeConfiguration is the text of a configuration with that many servers in its cached list.
 func slopeConfiguration(servers int) []byte {
 	text := fmt.Sprintf(configuration, "127.0.0.1:1", "127.0.0.1:2", 4096)
 	var known strings.Builder
@@ -111,42 +113,42 @@
 	return []byte(strings.Replace(text, `"limits":`, `"known":{"revision":1,"complete":true,"members":[`+known.String()+`]},"limits":`, 1))
 }
 
-// silentSide is a client or a server that takes all and says nothing.
-type silentSide struct{}
+// silentPeer is a client or a server that accepts everything and sends nothing.
+type silentPeer struct{}
 
-func (silentSide) Write([]byte)           {}
-func (silentSide) Up()                    {}
-func (silentSide) Answer([]byte, string)  {}
-func (silentSide) End(socket.End, string) {}
-func (silentSide) Waits() bool            { return true }
-func (silentSide) Gone() bool             { return false }
+func (silentPeer) Write([]byte)           {}
+func (silentPeer) Up()                    {}
+func (silentPeer) Answer([]byte, string)  {}
+func (silentPeer) End(socket.End, string) {}
+func (silentPeer) Waits() bool            { return true }
+func (silentPeer) Gone() bool             { return false }
 
-// silentDialer has each dial come up at once, by call of the test.
-type silentDialer struct{ latest *exchange.Exchange }
+// instantDialer records the latest dial, which the test then completes itself.
+type instantDialer struct{ latest *exchange.Exchange }
 
-func (d *silentDialer) Dial(_ choice.ServerID, _ time.Duration, ex *exchange.Exchange) exchange.Server {
+func (d *instantDialer) Dial(_ choice.ServerID, _ time.Duration, ex *exchange.Exchange) exchange.Server {
 	d.latest = ex
-	return silentSide{}
+	return silentPeer{}
 }
 
-// slopeProxy is a proxy with open sessions and no sockets.
+// slopeProxy is a proxy with that many open sessions and without sockets.
 func slopeProxy(b *testing.B, servers, sessions int) *Proxy {
 	p, err := New(slopeConfiguration(servers), zerolog.Nop())
 	if err != nil {
 		b.Fatal(err)
 	}
-	dialer := &silentDialer{}
+	dialer := &instantDialer{}
 	clock := func() time.Duration { return 0 }
 	p.timers = timers.New(clock, func(time.Duration) {})
 	p.table = exchange.NewTable(dialer, clock, func(func()) {}, func(time.Duration, func()) {}, time.Second, time.Second,
-		exchange.NewDelays(time.Second, noteSpan, false, false))
-	p.balancer = choice.New(slopeFront{front{p.table, p}}, rand.New(rand.NewSource(1)), p.terms.listeners, p.terms.dials, p.terms.budget,
-		p.terms.list, p.terms.cold, p.terms.words)
+		exchange.NewDelays(time.Second, reportInterval, false, false))
+	p.balancer = choice.New(slopeFront{balancerFront{p.table, p}}, rand.New(rand.NewSource(1)), p.settings.listeners, p.settings.dials, p.settings.budget,
+		p.settings.list, p.settings.cold, p.settings.peerReports)
 	p.table.Serve(p.balancer)
 	p.balancer.ApplyList(0, choice.ListFull, p.directory.entriesOf(slopeList(servers)))
 	for i := range sessions {
 		text := fmt.Appendf(nil, "OPEN s%d k%d c=chat,t=topic-%d,d=800", i, i, i%slopeTenants)
-		p.table.Begin(silentSide{}, choice.Arrival{Client: choice.Key(i + 1), Group: choice.Key(i/4 + 1), TimeLeft: time.Second}, text, 0)
+		p.table.Begin(silentPeer{}, choice.Arrival{Client: choice.Key(i + 1), Group: choice.Key(i/4 + 1), TimeLeft: time.Second}, text, 0)
 		dialer.latest.Opened([]byte("UP 1\r\n"))
 	}
 	if p.table.Open() != sessions {
@@ -155,27 +157,28 @@
 	return p
 }
 
-// slopeFront is the proxy's without its watch and timers, which would need the loop.
-type slopeFront struct{ front }
+// slopeFront is the proxy's balancerFront without the watch and the timers, which would need the event loop.
+type slopeFront struct{ balancerFront }
 
 func (slopeFront) SubscribeList()                              {}
 func (slopeFront) StartTimer(time.Duration, choice.TimerToken) {}
 
 var slopeOpen = []int{1000, 5000, 20000, 50000, 85500}
 
-// BenchmarkSlopeTallyWalk is what the proxy does once a second where it shares counts, when no session has come or gone.
+// BenchmarkSlopeTallyWalk measures the tally of open sessions that a proxy with Share takes every reportInterval, when no
+// session has come or gone.
 func BenchmarkSlopeTallyWalk(b *testing.B) {
 	for _, n := range slopeOpen {
 		b.Run(fmt.Sprintf("sessions=%d", n), func(b *testing.B) {
-			p, facts := slopeProxy(b, slopeSumServers, n), 0
+			p, facts := slopeProxy(b, slopeTallyServers, n), 0
 			p.Share(func(held []sharing.SessionCount) { facts = len(held) })
 			tally, held := heap.Held(func() *sharing.Tally {
 				tally := sharing.NewTally()
-				walk(p, tally)
+				walkTally(p, tally)
 				return tally
 			})
 			for b.Loop() {
-				walk(p, tally)
+				walkTally(p, tally)
 			}
 			b.ReportMetric(float64(facts), "facts")
 			b.ReportMetric(held, "held-B")
@@ -183,31 +186,31 @@
 	}
 }
 
-// BenchmarkSlopeTallyFirstWalk is the same with all sessions new, as at the first second or once a mass of clients came.
+// BenchmarkSlopeTallyFirstWalk measures the same with all sessions new, as after the start or after many clients connected.
 func BenchmarkSlopeTallyFirstWalk(b *testing.B) {
 	for _, n := range slopeOpen {
 		b.Run(fmt.Sprintf("sessions=%d", n), func(b *testing.B) {
-			p := slopeProxy(b, slopeSumServers, n)
+			p := slopeProxy(b, slopeTallyServers, n)
 			p.Share(func([]sharing.SessionCount) {})
 			for b.Loop() {
-				walk(p, sharing.NewTally())
+				walkTally(p, sharing.NewTally())
 			}
 		})
 	}
 }
 
-// walk is one walk of the tally; the timer that it sets is forgotten.
-func walk(p *Proxy, tally *sharing.Tally) {
+// walkTally takes one tally and discards the timer for the next one.
+func walkTally(p *Proxy, tally *sharing.Tally) {
 	p.timers = timers.New(p.now, func(time.Duration) {})
-	p.publishHeld(tally)
+	p.publishTally(tally)
 }
 
-// BenchmarkSlopeDirectoryGone is what servers cost that have left the list: their names stay known.
+// BenchmarkSlopeDirectoryGone measures the cost of servers that have left the list, whose names the directory keeps.
 func BenchmarkSlopeDirectoryGone(b *testing.B) {
 	for _, gone := range []int{1300, 3900, 13000, 39000} {
 		b.Run(fmt.Sprintf("gone=%d", gone), func(b *testing.B) {
-			all := slopeList(goneBeside + gone)
-			listed := discovery.List{Revision: 2, Complete: true, Servers: all.Servers[:goneBeside]}
+			all := slopeList(listedBesideGone + gone)
+			listed := discovery.List{Revision: 2, Complete: true, Servers: all.Servers[:listedBesideGone]}
 			d, held := heap.Held(func() *directory {
 				d := slopeDirectory(all)
 				d.entriesOf(listed)
@@ -217,15 +220,15 @@
 			for b.Loop() {
 				d.entriesOf(delta)
 				d.eachGone(func(choice.ServerID) {})
-				d.count()
+				d.countByStatus()
 			}
 			b.ReportMetric(held, "held-B")
 		})
 	}
 }
 
-// goneBeside is how many servers are still listed beside those that have gone.
-const goneBeside = 2000
+// listedBesideGone is how many servers are still listed beside those that have gone.
+const listedBesideGone = 2000
 
 // countingLog counts the bytes that a proxy logs.
 type countingLog struct{ bytes atomic.Int64 }
@@ -235,9 +238,10 @@
 	return len(text), nil
 }
 
-// serveForSlopes runs a whole proxy on loopback with one server that greets and echoes; it is ready when this returns.
-func serveForSlopes(b *testing.B, log *countingLog) (address string) {
-	processors, memory := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1) // a proxy sets both for its process
+// runProxyForSlopes runs a complete proxy on loopback with one server that accepts sessions and echoes lines. The proxy has its
+// list when this returns.
+func runProxyForSlopes(b *testing.B, log *countingLog) (address string) {
+	processors, memory := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1) // a proxy sets both for the whole process
 	b.Cleanup(func() {
 		runtime.GOMAXPROCS(processors)
 		debug.SetMemoryLimit(memory)
@@ -245,14 +249,14 @@
 	server, listener := listenForSlopes(b), listenForSlopes(b)
 	address = listener.Addr().String()
 	listener.Close() // the proxy listens there
-	go acceptForSlopes(server)
+	go serveLinesForSlopes(server)
 	list := fmt.Sprintf(`{"revision":1,"complete":true,"members":[{"id":"s-1","host_port":%q,"locality":"a","phase":"ready","size":1}]}`, server.Addr())
-	found := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, list)
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}))
-	p, err := New(fmt.Appendf(nil, configuration, address, found.Listener.Addr(), 4096), zerolog.New(log))
+	p, err := New(fmt.Appendf(nil, configuration, address, discoveryServer.Listener.Addr(), 4096), zerolog.New(log))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -262,8 +266,8 @@
 	b.Cleanup(func() {
 		p.stopLoop()
 		<-ended
-		found.CloseClientConnections()
-		found.Close()
+		discoveryServer.CloseClientConnections()
+		discoveryServer.Close()
 		server.Close()
 	})
 	for known := uint64(0); known == 0; time.Sleep(time.Millisecond) {
@@ -282,8 +286,8 @@
 	return l
 }
 
-// acceptForSlopes answers each first line, ends after BYE, and echoes all else.
-func acceptForSlopes(server net.Listener) {
+// serveLinesForSlopes answers OPEN with UP, closes after BYE, and echoes all other lines.
+func serveLinesForSlopes(server net.Listener) {
 	for {
 		conn, err := server.Accept()
 		if err != nil {
@@ -307,8 +311,8 @@
 	}
 }
 
-// ask sends a line on a connection of its own and waits for the answer.
-func ask(b *testing.B, address string, lines ...string) {
+// sendLines sends lines on a new connection and waits for the answer to each.
+func sendLines(b *testing.B, address string, lines ...string) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		b.Fatal(err)
@@ -323,7 +327,7 @@
 	}
 }
 
-// processTime is what this process has used of the processors.
+// processTime is the processor time that this process has used, user and system.
 func processTime() time.Duration {
 	var use syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &use); err != nil {
@@ -332,36 +336,36 @@
 	return time.Duration(use.Utime.Nano() + use.Stime.Nano())
 }
 
-// BenchmarkSlopeProbes is the processor time of so many probes of the front, each a connection with a PING. Both ends
-// are in this process, so the proxy's own part is less.
+// BenchmarkSlopeProbes measures the processor time of that many health probes, each a connection with a PING. Both ends are in
+// this process, so the proxy's own part is less.
 func BenchmarkSlopeProbes(b *testing.B) {
 	for _, n := range []int{100, 500, 2000} {
 		b.Run(fmt.Sprintf("probes=%d", n), func(b *testing.B) {
-			address := serveForSlopes(b, &countingLog{})
-			least := time.Duration(math.MaxInt64)
+			address := runProxyForSlopes(b, &countingLog{})
+			leastTime := time.Duration(math.MaxInt64)
 			for b.Loop() {
 				before := processTime()
 				for range n {
-					ask(b, address, "PING")
+					sendLines(b, address, "PING")
 				}
-				least = min(least, processTime()-before)
+				leastTime = min(leastTime, processTime()-before)
 			}
-			b.ReportMetric(0, "ns/op") // the testing package leaves it out then
-			b.ReportMetric(float64(least.Nanoseconds()), "cpu-ns")
+			b.ReportMetric(0, "ns/op") // 0 has the testing package omit this metric
+			b.ReportMetric(float64(leastTime.Nanoseconds()), "cpu-ns")
 		})
 	}
 }
 
-// BenchmarkSlopeSessionLog is what a proxy logs of so many sessions that begin and end, at its usual level.
+// BenchmarkSlopeSessionLog measures how many bytes a proxy logs, at its usual level, for that many sessions that begin and end.
 func BenchmarkSlopeSessionLog(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("sessions=%d", n), func(b *testing.B) {
 			log := &countingLog{}
-			address := serveForSlopes(b, log)
+			address := runProxyForSlopes(b, log)
 			for b.Loop() {
 				log.bytes.Store(0)
 				for i := range n {
-					ask(b, address, fmt.Sprintf("OPEN s%08d k%08d c=chat,d=800,g=%d", i, i, i/4), "BYE")
+					sendLines(b, address, fmt.Sprintf("OPEN s%08d k%08d c=chat,d=800,g=%d", i, i, i/4), "BYE")
 				}
 				waitForLines(log)
 			}
@@ -371,7 +375,7 @@
 	}
 }
 
-// waitForLines waits until nothing more has been logged for a while: a session's line is written once both ends closed.
+// waitForLines waits until nothing is logged for 50 ms: a session's line is written only once both connections are closed.
 func waitForLines(log *countingLog) {
 	for last := int64(-1); last != log.bytes.Load(); time.Sleep(50 * time.Millisecond) {
 		last = log.bytes.Load()
--- a/internal/proxy/standstill.go
+++ b/internal/proxy/standstill.go
@@ -3,80 +3,84 @@
 import "time"
 
 const (
-	sweepEvery = noteSpan / sweeps
-	// allowedDelay is how long, by the protocol page, a proxy may be held up between reading its clock and writing.
-	allowedDelay = 150 * time.Millisecond
-	// standstillLimit is the time between two events from which on the loop has stood still: a sweep is due more often.
-	standstillLimit = sweepEvery + allowedDelay
-	// drainCheckEvery is how often the watch of the list is looked at after a standstill, and drainPatience how long: a discovery
-	// that sends without end must not hold up all sessions. Each has its own limit besides.
-	drainCheckEvery = time.Millisecond
-	drainPatience   = time.Second
+	// sweepInterval is the time between two sweeps of the sessions; the sweeps also bound the time between two events.
+	sweepInterval = reportInterval / sweepsPerReport
+	// maxWriteDelay is how long, by the protocol page, a proxy may be delayed between reading its clock and writing.
+	maxWriteDelay = 150 * time.Millisecond
+	// standstillThreshold is the time between two events from which the event loop counts as having stood still: a sweep is
+	// due every sweepInterval.
+	standstillThreshold = sweepInterval + maxWriteDelay
+	// After a standstill the watch of the list is checked every watchCheckInterval until all that was sent is read, for
+	// watchReadTimeout at most: a discovery service that sends without end must not hold up all sessions. Sessions have
+	// their own limits besides.
+	watchCheckInterval = time.Millisecond
+	watchReadTimeout   = time.Second
 )
 
-// standstill is a span in which the event loop did not run: the process was stopped, or the machine gave it no processor. What
-// has come meanwhile is read by several goroutines in any order, so that a request could be placed by a list that has been
-// replaced long ago.
+// standstill is a period in which the event loop did not run: the process was stopped, or the machine gave it no processor
+// time. What arrived meanwhile is read by several goroutines in any order, so that a session could be placed by a list that
+// was replaced long before.
 type standstill struct {
 	began, ended time.Duration
 
-	isListOld bool // what discovery has sent meanwhile may not be known yet
-	waiting   []func()
+	listMayBeStale bool // what discovery sent meanwhile may not have been applied yet
+	deferredCalls  []func()
 }
 
-// noteEvent is called at the start of each event, and finds out about a standstill before it.
-func (p *Proxy) noteEvent() {
+// detectStandstill is called at the start of each event and detects a standstill that ended with it.
+func (p *Proxy) detectStandstill() {
 	now := p.now()
-	before := p.lastEvent
-	p.lastEvent = now
-	if before == 0 || now-before < standstillLimit {
+	previous := p.lastEventAt
+	p.lastEventAt = now
+	if previous == 0 || now-previous < standstillThreshold {
 		return
 	}
 	s := &p.standstill
-	s.began, s.ended = before, now
-	p.log.Warn().Dur("ms", now-before).Msg("the event loop stood still")
-	if !s.isListOld {
-		s.isListOld = true
-		p.awaitList(now + drainPatience)
+	s.began, s.ended = previous, now
+	p.log.Warn().Dur("ms", now-previous).Msg("the event loop stood still")
+	if !s.listMayBeStale {
+		s.listMayBeStale = true
+		p.awaitListRead(now + watchReadTimeout)
 	}
 }
 
-// awaitList looks whether all that discovery has sent is read, until then or the limit.
-func (p *Proxy) awaitList(limit time.Duration) {
-	if p.watcher.IsDrained() || p.now() >= limit {
-		p.loop.Execute(p.listIsKnown) // behind the lists that were handed over before
+// awaitListRead checks until the deadline whether all that discovery sent has been read, then releases the deferred calls.
+func (p *Proxy) awaitListRead(deadline time.Duration) {
+	if p.watcher.IsDrained() || p.now() >= deadline {
+		p.loop.Execute(p.resumeAfterList) // queued behind the lists that were already handed to the loop
 		return
 	}
-	p.timers.After(drainCheckEvery, func() { p.awaitList(limit) })
+	p.timers.After(watchCheckInterval, func() { p.awaitListRead(deadline) })
 }
 
-// listIsKnown goes on with what has waited for the list.
-func (p *Proxy) listIsKnown() {
-	p.enter()
-	defer p.leave()
+// resumeAfterList runs the calls that waited for the list.
+func (p *Proxy) resumeAfterList() {
+	p.beginEvent()
+	defer p.endEvent()
 	s := &p.standstill
-	s.isListOld = false
-	waiting := s.waiting
-	s.waiting = nil
-	for _, call := range waiting {
+	s.listMayBeStale = false
+	calls := s.deferredCalls
+	s.deferredCalls = nil
+	for _, call := range calls {
 		call()
 	}
 }
 
-// whenListIsKnown calls back once what discovery has sent in a standstill is known, and at once where there was none.
-func (p *Proxy) whenListIsKnown(call func()) {
-	if p.standstill.isListOld {
-		p.standstill.waiting = append(p.standstill.waiting, call)
+// whenListCurrent calls back once all that discovery sent during a standstill has been applied, or at once if there was
+// no standstill.
+func (p *Proxy) whenListCurrent(callback func()) {
+	if p.standstill.listMayBeStale {
+		p.standstill.deferredCalls = append(p.standstill.deferredCalls, callback)
 		return
 	}
-	call()
+	callback()
 }
 
-// standstillJustNow is how long the loop has stood still, if that ended a moment ago, else 0. A signal that is handled now may
-// have been sent as it began.
-func (p *Proxy) standstillJustNow() time.Duration {
+// recentStandstill is the time since the beginning of a standstill that ended at most sweepInterval ago, else 0. A signal
+// that is handled now may have been sent when the standstill began.
+func (p *Proxy) recentStandstill() time.Duration {
 	s := &p.standstill
-	if s.ended == 0 || p.now()-s.ended > sweepEvery {
+	if s.ended == 0 || p.now()-s.ended > sweepInterval {
 		return 0
 	}
 	return p.now() - s.began
--- a/internal/proxy/starttime.go
+++ b/internal/proxy/starttime.go
@@ -6,40 +6,40 @@
 	"chalkferry/internal/discovery"
 )
 
-// startClock turns the times at which servers started, which the list tells by the wall clock, into spans of the monotonic
-// clock. The wall clock may be stepped, this machine's alone or all machines' together, so that two readings of it may
-// differ; then the one counts by which the server is younger: a server that is taken for warm too early can be pushed over,
-// one that is taken for cold only gets less for a while.
+// startClock converts the start times of servers, which the list gives by the wall clock, to the proxy's monotonic clock.
+// The wall clock may be stepped, on this machine alone or on all machines, so the conversion by the wall clock at the
+// process's start and the one by the wall clock now may differ; the one by which the server is younger counts. A server that
+// is wrongly taken for warm can be overloaded; one that is wrongly taken for cold only gets less load for a while.
 type startClock struct {
-	began time.Time            // of the process
-	now   func() time.Duration // since then, monotonic
-	wall  func() time.Time
+	processStart time.Time            // wall and monotonic time of the process's start
+	sinceStart   func() time.Duration // time since processStart by the monotonic clock
+	wallClock    func() time.Time
 
-	lists      int           // that were taken, the one that the process starts with included
-	lastListAt time.Duration // when the latest of them was taken
-	listAt     time.Duration // the one at hand
+	listCount      int           // lists applied, including the cached one that the process starts with
+	previousListAt time.Duration // when the list before the current one was applied
+	currentListAt  time.Duration // when the current list was applied
 }
 
-// firstComparable is the number of the first list to which a later one can be compared: the process starts with one of
-// unknown age, and the next tells what has changed since then.
-const firstComparable = 2
+// firstComparableList is the number of the first list that a later one can be compared with: list 1 is the cached one, of
+// unknown age, and list 2 has all that changed since then.
+const firstComparableList = 2
 
-// begin is to be called as a list is taken.
-func (c *startClock) begin() {
-	c.lists++
-	c.lastListAt, c.listAt = c.listAt, c.now()
+// beginList must be called before the entries of a list are converted.
+func (c *startClock) beginList() {
+	c.listCount++
+	c.previousListAt, c.currentListAt = c.currentListAt, c.sinceStart()
 }
 
-// since is when a server started that the list at hand names with a start that was not known before. Each start is to be
-// turned once, at its first sight: a step of the clock afterwards does not change it.
-func (c *startClock) since(upSinceMs float64) time.Duration {
+// serverStart converts a start time that the current list gives for the first time, in milliseconds of Unix time. Each
+// start time must be converted only once, so that later steps of the wall clock do not change the result.
+func (c *startClock) serverStart(upSinceMs float64) time.Duration {
 	started := time.UnixMicro(int64(upSinceMs * 1000))
-	wallBegan := c.began.Round(0)
-	byStart := started.Sub(wallBegan)
-	byNow := c.listAt - c.wall().Round(0).Sub(started)
-	since := max(byStart, byNow)
-	if c.lists > firstComparable { // it has started since the list before, which may have been late
-		since = max(since, c.lastListAt-discovery.StalenessLimit)
+	processStartWall := c.processStart.Round(0)
+	byProcessStart := started.Sub(processStartWall)
+	byWallNow := c.currentListAt - c.wallClock().Round(0).Sub(started)
+	serverStart := max(byProcessStart, byWallNow)
+	if c.listCount > firstComparableList { // the server has started since the previous list, which may have been late by SilenceLimit
+		serverStart = max(serverStart, c.previousListAt-discovery.StalenessLimit)
 	}
-	return min(since, c.listAt)
+	return min(serverStart, c.currentListAt)
 }
--- a/internal/proxy/terms.go
+++ b/internal/proxy/terms.go
@@ -8,80 +8,88 @@
 	"chalkferry/internal/start"
 )
 
-// What discovery has counts as known so long (discovery.StalenessLimit) after it could be reached, however a call before has
-// ended and however long the settings let a proxy not ask. A call may have begun just before that moment, so each way for
-// one to fail, and the pause after it, leave time within it for the next call.
+// Limits for calls to discovery. A change in discovery counts as known to the proxy discovery.StalenessLimit after discovery
+// became reachable, however the call before ended and whatever poll interval the settings allow. A call may have begun just
+// before that moment, so each way for one to fail, plus the pause after it, leaves time for the next call within that limit.
 const (
-	longestAsk    = discovery.StalenessLimit / 4     // for a connection to be established
-	longestPause  = discovery.StalenessLimit / 2     // after a call that failed
-	longestAnswer = discovery.StalenessLimit * 5 / 6 // for a call to be answered; the next one follows with no pause
+	maxDiscoveryConnect = discovery.StalenessLimit / 4     // for a connection to discovery to be established
+	maxWatchPause       = discovery.StalenessLimit / 2     // pause after a failed call
+	maxWatchAnswerWait  = discovery.StalenessLimit * 5 / 6 // for a call to be answered; the next one follows without a pause
 )
 
-// terms are what a configuration says of the platform. All of them may change while the proxy runs.
-type terms struct {
-	listeners []choice.Listener
-	dials     choice.DialLimits
-	budget    choice.RetryBudget
-	list      choice.ListSettings
-	cold      choice.ColdSettings
-	words     choice.PeerReportSettings
+// runtimeSettings are the settings of a configuration with what is derived from them. All of them may change while the proxy
+// runs.
+type runtimeSettings struct {
+	listeners   []choice.Listener
+	dials       choice.DialLimits
+	budget      choice.RetryBudget
+	list        choice.ListSettings
+	cold        choice.ColdSettings
+	peerReports choice.PeerReportSettings
 
-	listenerIDs    map[string]choice.ListenerID
-	tenantIDs      map[string]choice.TenantID
-	zones          map[string]choice.ZoneID
-	connect        time.Duration
-	passes, groups bool
-	tellsLoad      bool
-	tellsDelay     bool
-	models         bool // servers of one model are learnt of together
-	pushed         bool // what discovery has to tell counts as told, watched or not
+	listenerIDs            map[string]choice.ListenerID // by name, as are the next two
+	tenantIDs              map[string]choice.TenantID
+	zones                  map[string]choice.ZoneID
+	connectTimeout         time.Duration // for a connection to a server to be established
+	passThrough, hasGroups bool          // sessions pass through the proxy instead of ending at it; clients name groups
+	serversReportLoad      bool          // servers send the load of open sessions
+	serversReportDelay     bool          // servers send the delay of their messages
+	learnModels            bool          // servers of the same model share what is learnt of their speed
+	// listPushed: discovery pushes lists (setting "push"), so a change counts as known whether or not a watch is open.
+	listPushed bool
 
-	ask      time.Duration // for a connection to discovery to be established
-	answer   time.Duration // for a watch of the list to begin
-	patience time.Duration // the longest dial timeout
-	hello    time.Duration // for a connection to ask for a session
-	mark     time.Duration // a message that takes longer is noted
-	still    time.Duration // a server that says nothing for so long is left
+	discoveryConnectTimeout time.Duration // for a connection to discovery to be established
+	watchAnswerTimeout      time.Duration // for a watch of the list to be answered
+	longestDialTimeout      time.Duration // of all listeners
+	helloTimeout            time.Duration // for a client to ask for a session after it connected
+	slowMessageThreshold    time.Duration // a message that takes longer counts as slow; 0 if no listener has a target
+	serverSilenceLimit      time.Duration // a server that is silent for longer loses its sessions
 }
 
-// read takes the terms from the text of the settings.
-func read(settings []byte) (*terms, error) {
-	t := &terms{listenerIDs: map[string]choice.ListenerID{}, tenantIDs: map[string]choice.TenantID{},
-		zones: map[string]choice.ZoneID{}, hello: maxHelloWait, still: maxSilence}
-	if err := start.Module(settings, &t.listeners, &t.dials, &t.budget, &t.list, &t.cold, &t.words); err != nil {
+// parseSettings parses and checks the text of the settings.
+func parseSettings(text []byte) (*runtimeSettings, error) {
+	settings := &runtimeSettings{listenerIDs: map[string]choice.ListenerID{}, tenantIDs: map[string]choice.TenantID{},
+		zones: map[string]choice.ZoneID{}, helloTimeout: maxHelloWait, serverSilenceLimit: maxServerSilence}
+	if err := start.ParseBalancer(text, &settings.listeners, &settings.dials, &settings.budget,
+		&settings.list, &settings.cold, &settings.peerReports); err != nil {
 		return nil, err
 	}
-	if err := start.Names(settings, t.listenerIDs, t.tenantIDs, t.zones); err != nil {
+	if err := start.ParseNames(text, settings.listenerIDs, settings.tenantIDs, settings.zones); err != nil {
 		return nil, err
 	}
-	if err := start.Connections(settings, &t.connect, &t.passes, &t.groups); err != nil {
+	if err := start.ParseConnections(text, &settings.connectTimeout, &settings.passThrough, &settings.hasGroups); err != nil {
 		return nil, err
 	}
-	if err := start.Notes(settings, &t.tellsLoad, &t.tellsDelay, &t.models); err != nil {
+	if err := start.ParseServerReports(text, &settings.serversReportLoad, &settings.serversReportDelay,
+		&settings.learnModels); err != nil {
 		return nil, err
 	}
-	var longest time.Duration
-	for _, l := range t.listeners {
-		t.patience = max(t.patience, l.DialTimeout)
-		if l.MessageTarget > 0 && (t.mark == 0 || l.MessageTarget/3 < t.mark) {
-			t.mark = l.MessageTarget / 3
+	var longestMessageTarget time.Duration
+	for _, l := range settings.listeners {
+		settings.longestDialTimeout = max(settings.longestDialTimeout, l.DialTimeout)
+		if l.MessageTarget > 0 && (settings.slowMessageThreshold == 0 || l.MessageTarget/3 < settings.slowMessageThreshold) {
+			settings.slowMessageThreshold = l.MessageTarget / 3
 		}
-		longest = max(longest, l.MessageTarget)
+		longestMessageTarget = max(longestMessageTarget, l.MessageTarget)
 	}
-	t.hello = min(t.hello, t.patience) // which listener's it is, its line will tell
-	if longest > 0 {
-		t.still = min(t.still, 2*longest) // a line later than that is of no use to any listener
+	// The listener, and so its own dial timeout, is known only from the client's first line.
+	settings.helloTimeout = min(settings.helloTimeout, settings.longestDialTimeout)
+	if longestMessageTarget > 0 {
+		// A message that is later than that is of no use to any listener.
+		settings.serverSilenceLimit = min(settings.serverSilenceLimit, 2*longestMessageTarget)
 	}
-	// A real list must be watched, also where the bench hands it out.
-	t.pushed, t.list.NeedsSubscription = !t.list.NeedsSubscription, true
-	if t.list.MaxPollInterval == 0 { // no asking is asked for; calls may wait their turn all the same
-		t.list.MaxPollInterval = max(4*t.patience, 2*longestAnswer)
+	// A real list must always be watched, also with setting "push", under which the benchmark delivers lists itself.
+	settings.listPushed, settings.list.NeedsSubscription = !settings.list.NeedsSubscription, true
+	if settings.list.MaxPollInterval == 0 { // the settings ask for no polling; calls may still have to wait for their turn
+		settings.list.MaxPollInterval = max(4*settings.longestDialTimeout, 2*maxWatchAnswerWait)
 	}
-	t.answer = min(t.list.MaxPollInterval/2, longestAnswer) // the module asks anew after that half, too
-	if t.list.MaxRetryBackoff == 0 {
-		t.list.MaxRetryBackoff = t.list.MaxPollInterval / 4
+	// The balancer subscribes again after half of MaxPollInterval, too.
+	settings.watchAnswerTimeout = min(settings.list.MaxPollInterval/2, maxWatchAnswerWait)
+	if settings.list.MaxRetryBackoff == 0 {
+		settings.list.MaxRetryBackoff = settings.list.MaxPollInterval / 4
 	}
-	t.list.MaxRetryBackoff = min(t.list.MaxRetryBackoff, longestPause/2) // the module's longest pause is twice that
-	t.ask = min(2*t.connect, longestAsk)
-	return t, nil
+	// The balancer's longest pause is twice MaxRetryBackoff.
+	settings.list.MaxRetryBackoff = min(settings.list.MaxRetryBackoff, maxWatchPause/2)
+	settings.discoveryConnectTimeout = min(2*settings.connectTimeout, maxDiscoveryConnect)
+	return settings, nil
 }
--- a/internal/scale/member.go
+++ b/internal/scale/member.go
@@ -134,15 +134,15 @@
 		passes, groups      bool
 		load, delay, models bool
 	)
-	if err := start.Module(settings, &listeners, &dials, &budget, &list, &cold, &words); err != nil {
+	if err := start.ParseBalancer(settings, &listeners, &dials, &budget, &list, &cold, &words); err != nil {
 		return err
 	}
-	err := start.Names(settings, map[string]choice.ListenerID{}, map[string]choice.TenantID{}, map[string]choice.ZoneID{})
+	err := start.ParseNames(settings, map[string]choice.ListenerID{}, map[string]choice.TenantID{}, map[string]choice.ZoneID{})
 	if err != nil {
 		return err
 	}
-	if err := start.Connections(settings, &connect, &passes, &groups); err != nil {
+	if err := start.ParseConnections(settings, &connect, &passes, &groups); err != nil {
 		return err
 	}
-	return start.Notes(settings, &load, &delay, &models)
+	return start.ParseServerReports(settings, &load, &delay, &models)
 }
--- a/internal/start/proxy.go
+++ b/internal/start/proxy.go
@@ -10,27 +10,27 @@
 	"chalkferry/choice"
 )
 
-// Addresses are where a proxy listens, and whom it asks and tells.
+// Addresses are the proxy's name, the addresses it listens at and those it connects or sends to. Each address is "IP:port".
 type Addresses struct {
 	Name       string
 	Listen     string
 	Discovery  string
-	PeerListen string   // "" where proxies do not talk
-	Peers      []string // one for each proxy
-	PeersAll   string   // one that reaches all of them, "" without
+	PeerListen string   // UDP; "" if proxies do not exchange overload reports
+	Peers      []string // one address for each proxy
+	PeersAll   string   // one address that reaches all of them, "" if there is none
 }
 
-// Limits are what the machine gives a proxy.
+// Limits are the resources that the machine gives a proxy.
 type Limits struct {
 	Cores    float64
 	MemoryMB int
 	Sockets  int
 }
 
-// File reads the configuration file of a real proxy: besides the named parts the list of servers as last
-// held, and the text of the settings.
-func File(text []byte, at *Addresses, limits *Limits, seed *int64) (known, settings []byte, err error) {
-	var told struct {
+// ParseFile parses the configuration file of a proxy. Besides the parts that it stores in its arguments it returns the text
+// of the cached list of servers (empty if there is none) and the text of the settings, both unparsed.
+func ParseFile(text []byte, addresses *Addresses, limits *Limits, seed *int64) (knownServers, settings []byte, err error) {
+	var raw struct {
 		Name       string          `json:"name"`
 		Listen     string          `json:"listen"`
 		Discovery  string          `json:"discovery"`
@@ -46,81 +46,82 @@
 			Sockets  float64 `json:"sockets"`
 		} `json:"limits"`
 	}
-	if err := json.Unmarshal(text, &told); err != nil {
-		return nil, nil, fmt.Errorf("not a configuration: %w", err)
+	if err := json.Unmarshal(text, &raw); err != nil {
+		return nil, nil, fmt.Errorf("configuration is not valid JSON: %w", err)
 	}
-	*at = Addresses{Name: told.Name, Listen: told.Listen, Discovery: told.Discovery, PeerListen: told.PeerListen,
-		Peers: told.Peers, PeersAll: told.PeersAll}
-	needed := map[string]string{"listen": at.Listen, "discovery": at.Discovery}
-	if at.PeerListen != "" {
-		needed["peer_listen"] = at.PeerListen
+	*addresses = Addresses{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, PeerListen: raw.PeerListen,
+		Peers: raw.Peers, PeersAll: raw.PeersAll}
+	required := map[string]string{"listen": addresses.Listen, "discovery": addresses.Discovery}
+	if addresses.PeerListen != "" {
+		required["peer_listen"] = addresses.PeerListen
 	}
-	for i, peer := range at.Peers {
-		needed[fmt.Sprintf("peers[%d]", i)] = peer
+	for i, peer := range addresses.Peers {
+		required[fmt.Sprintf("peers[%d]", i)] = peer
 	}
-	if at.PeersAll != "" {
-		needed["peers_all"] = at.PeersAll
+	if addresses.PeersAll != "" {
+		required["peers_all"] = addresses.PeersAll
 	}
-	for name, address := range needed {
+	for name, address := range required {
 		if _, err := netip.ParseAddrPort(address); err != nil {
 			return nil, nil, fmt.Errorf("%s: %q is not an address and a port", name, address)
 		}
 	}
-	bits, err := strconv.ParseUint(told.Seed, 16, 64)
+	bits, err := strconv.ParseUint(raw.Seed, 16, 64)
 	if err != nil {
-		return nil, nil, fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", told.Seed)
+		return nil, nil, fmt.Errorf("seed: %q is not a 64-bit hexadecimal number", raw.Seed)
 	}
 	*seed = int64(bits)
-	*limits = Limits{Cores: told.Limits.Cores, MemoryMB: int(told.Limits.MemoryMB), Sockets: int(told.Limits.Sockets)}
+	*limits = Limits{Cores: raw.Limits.Cores, MemoryMB: int(raw.Limits.MemoryMB), Sockets: int(raw.Limits.Sockets)}
 	switch {
 	case limits.MemoryMB < 16:
 		return nil, nil, fmt.Errorf("limits: memory_mb is %d, at least 16 are needed", limits.MemoryMB)
 	case limits.Sockets < 64:
 		return nil, nil, fmt.Errorf("limits: sockets is %d, at least 64 are needed", limits.Sockets)
-	case len(told.Settings) == 0:
+	case len(raw.Settings) == 0:
 		return nil, nil, fmt.Errorf("settings are missing")
 	}
-	return told.Known, told.Settings, nil
+	return raw.Known, raw.Settings, nil
 }
 
-// Names gives the ids of what the settings name.
-func Names(settings []byte, listeners map[string]choice.ListenerID, tenants map[string]choice.TenantID,
+// ParseNames fills the maps from the names of listeners, tenants and zones to their IDs, which are their positions in the
+// settings. The maps must be empty; duplicate names are an error.
+func ParseNames(settings []byte, listeners map[string]choice.ListenerID, tenants map[string]choice.TenantID,
 	zones map[string]choice.ZoneID) error {
 	type named struct {
 		Name string `json:"name"`
 	}
-	var told struct {
+	var raw struct {
 		Listeners []named  `json:"listeners"`
 		Tenants   []named  `json:"tenants"`
 		Areas     []string `json:"areas"`
 	}
-	if err := json.Unmarshal(settings, &told); err != nil {
+	if err := json.Unmarshal(settings, &raw); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	for i, l := range told.Listeners {
-		listeners[l.Name] = choice.ListenerID(i)
+	for i, listener := range raw.Listeners {
+		listeners[listener.Name] = choice.ListenerID(i)
 	}
-	for i, t := range told.Tenants {
-		tenants[t.Name] = choice.TenantID(i)
+	for i, tenant := range raw.Tenants {
+		tenants[tenant.Name] = choice.TenantID(i)
 	}
-	for i, zone := range told.Areas {
+	for i, zone := range raw.Areas {
 		zones[zone] = choice.ZoneID(i)
 	}
 	switch {
-	case len(listeners) < len(told.Listeners):
-		return fmt.Errorf("settings: two listeners of one name")
-	case len(tenants) < len(told.Tenants):
-		return fmt.Errorf("settings: two tenants of one name")
-	case len(zones) < len(told.Areas):
-		return fmt.Errorf("settings: two areas of one name")
+	case len(listeners) < len(raw.Listeners):
+		return fmt.Errorf("settings: two listeners have the same name")
+	case len(tenants) < len(raw.Tenants):
+		return fmt.Errorf("settings: two tenants have the same name")
+	case len(zones) < len(raw.Areas):
+		return fmt.Errorf("settings: two areas have the same name")
 	}
 	return nil
 }
 
-// Connections tells how long a connection may take to stand, whether sessions pass through the proxy or end at
-// it, and whether they have groups.
-func Connections(settings []byte, connect *time.Duration, passes, groups *bool) error {
-	var told struct {
+// ParseConnections reads how long a connection to a server may take to be established, whether sessions pass through the
+// proxy or end at it, and whether clients name groups.
+func ParseConnections(settings []byte, connectTimeout *time.Duration, passThrough, hasGroups *bool) error {
+	var raw struct {
 		Ceilings struct {
 			ConnectTimeout float64 `json:"connectTimeout"`
 		} `json:"ceilings"`
@@ -129,38 +130,38 @@
 			Groups bool   `json:"groups"`
 		} `json:"domain"`
 	}
-	if err := json.Unmarshal(settings, &told); err != nil {
+	if err := json.Unmarshal(settings, &raw); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	var err error
-	if *connect, err = millis("ceilings.connectTimeout", told.Ceilings.ConnectTimeout); err != nil {
+	if *connectTimeout, err = parseMillis("ceilings.connectTimeout", raw.Ceilings.ConnectTimeout); err != nil {
 		return err
 	}
-	if *connect == 0 {
+	if *connectTimeout == 0 {
 		return fmt.Errorf("settings: connectTimeout is 0")
 	}
-	switch told.Domain.Mode {
+	switch raw.Domain.Mode {
 	case "pass", "proxy":
 	default:
-		return fmt.Errorf("settings: unknown mode %q", told.Domain.Mode)
+		return fmt.Errorf("settings: unknown mode %q", raw.Domain.Mode)
 	}
-	*passes, *groups = told.Domain.Mode == "pass", told.Domain.Groups
+	*passThrough, *hasGroups = raw.Domain.Mode == "pass", raw.Domain.Groups
 	return nil
 }
 
-// Notes tells what servers say on open sessions, a session's load and the delay of messages, and whether speeds of
-// models are learnt from that.
-func Notes(settings []byte, load, delay, models *bool) error {
-	var told struct {
+// ParseServerReports reads what servers report on open sessions, a session's load and the delay of its messages, and whether
+// the speeds of server models are learnt from that.
+func ParseServerReports(settings []byte, reportLoad, reportDelay, learnModels *bool) error {
+	var raw struct {
 		LearnModels bool `json:"learnModels"`
 		Domain      struct {
 			TellsLoad  bool `json:"tellsLoad"`
 			TellsDelay bool `json:"tellsDelay"`
 		} `json:"domain"`
 	}
-	if err := json.Unmarshal(settings, &told); err != nil {
+	if err := json.Unmarshal(settings, &raw); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	*load, *delay, *models = told.Domain.TellsLoad, told.Domain.TellsDelay, told.LearnModels
+	*reportLoad, *reportDelay, *learnModels = raw.Domain.TellsLoad, raw.Domain.TellsDelay, raw.LearnModels
 	return nil
 }
--- a/internal/start/slopes_test.go
+++ b/internal/start/slopes_test.go
@@ -8,8 +8,10 @@
 	"chalkferry/choice"
 )
 
-// Benchmarks behind docs/CAPACITY.md: reading settings by their listeners. `chalkferry capacity fit` reads their output.
+// Benchmarks for docs/CAPACITY.md: the cost of parsing settings by number of listeners. `chalkferry capacity fit` reads their
+// output.
 
+// slopeSettings is a text of settings with that many listeners.
 func slopeSettings(listeners int) []byte {
 	var text strings.Builder
 	text.WriteString(`{"discovery":"ask","groupSize":7600,"ceilings":{"mostDials":3},"domain":{"messageAim":[]},`)
@@ -30,14 +32,14 @@
 			text := slopeSettings(n)
 			for b.Loop() {
 				var (
-					listeners []choice.Listener
-					dials     choice.DialLimits
-					budget    choice.RetryBudget
-					list      choice.ListSettings
-					cold      choice.ColdSettings
-					words     choice.PeerReportSettings
+					listeners   []choice.Listener
+					dials       choice.DialLimits
+					budget      choice.RetryBudget
+					list        choice.ListSettings
+					cold        choice.ColdSettings
+					peerReports choice.PeerReportSettings
 				)
-				if err := Module(text, &listeners, &dials, &budget, &list, &cold, &words); err != nil {
+				if err := ParseBalancer(text, &listeners, &dials, &budget, &list, &cold, &peerReports); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/start/start.go
+++ b/internal/start/start.go
@@ -1,4 +1,6 @@
-// Package start reads what a proxy is told at its start.
+// Package start parses the configuration and the settings of a proxy and checks their values, for the proxy itself and for
+// the adapter that runs the balancer in a benchmark. Results go to variables that the caller passes in. It opens nothing and
+// applies nothing.
 package start
 
 import (
@@ -11,8 +13,8 @@
 	"chalkferry/internal/benchwire"
 )
 
-// moduleSettings is what the module's part of the settings looks like; times are in milliseconds.
-type moduleSettings struct {
+// balancerSettings is the balancer's part of the settings as written in JSON; times are in milliseconds.
+type balancerSettings struct {
 	Discovery string             `json:"discovery"`
 	Listeners []listenerSettings `json:"listeners"`
 	Ceilings  struct {
@@ -22,13 +24,13 @@
 		Peers         bool    `json:"peers"`
 	} `json:"ceilings"`
 	Invariants struct {
-		Cold         float64 `json:"cold"`
-		ColdFrom     float64 `json:"coldFrom"`
-		FallMultiple float64 `json:"fallMultiple"`
-		TipAfter     float64 `json:"tipAfter"`
-		MustAskIn    float64 `json:"mustAskIn"`
-		DrainsAlone  bool    `json:"drainBindsAlone"`
-		StopSending  float64 `json:"stopSendingWithin"`
+		Cold              float64 `json:"cold"`
+		ColdFrom          float64 `json:"coldFrom"`
+		FallMultiple      float64 `json:"fallMultiple"`
+		TipAfter          float64 `json:"tipAfter"`
+		MustAskIn         float64 `json:"mustAskIn"`
+		OnlyDrainsExclude bool    `json:"drainBindsAlone"`
+		StopSending       float64 `json:"stopSendingWithin"`
 
 		FreeResends  *float64 `json:"freeResends"`
 		FurtherRatio *float64 `json:"furtherRatio"`
@@ -44,6 +46,7 @@
 	Me        int `json:"me"`
 }
 
+// listenerSettings is one listener's entry in the settings; times are in milliseconds.
 type listenerSettings struct {
 	Name            string  `json:"name"`
 	DialTimeout     float64 `json:"dialTimeout"`
@@ -54,10 +57,11 @@
 	Utility         float64 `json:"utility"`
 }
 
-// Module takes from the text of the settings what the named parts of the module want.
-func Module(text []byte, listeners *[]choice.Listener, dials *choice.DialLimits, budget *choice.RetryBudget,
-	list *choice.ListSettings, cold *choice.ColdSettings, words *choice.PeerReportSettings) error {
-	var settings moduleSettings
+// ParseBalancer parses the balancer's part of the settings. Listeners are appended; all else is overwritten. On an error
+// some of the results may have been set.
+func ParseBalancer(text []byte, listeners *[]choice.Listener, dials *choice.DialLimits, budget *choice.RetryBudget,
+	list *choice.ListSettings, cold *choice.ColdSettings, peerReports *choice.PeerReportSettings) error {
+	var settings balancerSettings
 	if err := json.Unmarshal(text, &settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
@@ -66,63 +70,64 @@
 	default:
 		return fmt.Errorf("settings: unknown discovery %q", settings.Discovery)
 	}
-	var spans spanReader
-	next, err := settings.listeners(&spans)
+	var durations durationReader
+	parsed, err := settings.listeners(&durations)
 	if err != nil {
 		return err
 	}
-	*listeners = append(*listeners, next...)
-	*dials = settings.dialLimits(&spans)
-	if err := furtherDials(settings.Invariants.FreeResends, settings.Invariants.FurtherRatio,
+	*listeners = append(*listeners, parsed...)
+	*dials = settings.dialLimits(&durations)
+	if err := parseRetryBudget(settings.Invariants.FreeResends, settings.Invariants.FurtherRatio,
 		settings.Invariants.BudgetWindow, budget); err != nil {
 		return err
 	}
-	*list = settings.listRules(&spans)
-	*cold = settings.coldRule(&spans)
-	*words = choice.PeerReportSettings{Enabled: settings.Ceilings.Peers,
+	*list = settings.listSettings(&durations)
+	*cold = settings.coldSettings(&durations)
+	*peerReports = choice.PeerReportSettings{Enabled: settings.Ceilings.Peers,
 		CostPerMessage: settings.Penalties.Peer * benchwire.WordSize / benchwire.FullMessage}
-	if spans.err != nil {
-		return spans.err
+	if durations.err != nil {
+		return durations.err
 	}
 	return settings.check(*listeners, *list, *cold)
 }
 
-// spanReader reads times and keeps the first error.
-type spanReader struct{ err error }
+// durationReader converts times and keeps the first error, so that callers can check once at the end.
+type durationReader struct{ err error }
 
-func (r *spanReader) span(name string, ms float64) time.Duration {
-	d, err := millis(name, ms)
+// millis converts a time of the settings; name is its path there, for the error.
+func (r *durationReader) millis(name string, ms float64) time.Duration {
+	duration, err := parseMillis(name, ms)
 	if err != nil && r.err == nil {
 		r.err = err
 	}
-	return d
+	return duration
 }
 
-func (s *moduleSettings) listeners(spans *spanReader) ([]choice.Listener, error) {
+func (s *balancerSettings) listeners(durations *durationReader) ([]choice.Listener, error) {
 	if len(s.Listeners) == 0 {
 		return nil, fmt.Errorf("settings: no listeners")
 	}
 	var listeners []choice.Listener
-	for i, l := range s.Listeners {
-		next, err := l.listener(i, spans)
+	for i, raw := range s.Listeners {
+		listener, err := raw.listener(i, durations)
 		if err != nil {
 			return nil, err
 		}
 		if i < len(s.Domain.MessageAim) {
-			next.MessageTarget = spans.span(fmt.Sprintf("domain.messageAim[%d]", i), s.Domain.MessageAim[i])
+			listener.MessageTarget = durations.millis(fmt.Sprintf("domain.messageAim[%d]", i), s.Domain.MessageAim[i])
 		}
-		listeners = append(listeners, next)
+		listeners = append(listeners, listener)
 	}
 	return listeners, nil
 }
 
-func (l *listenerSettings) listener(number int, spans *spanReader) (choice.Listener, error) {
-	field := func(name string) string { return fmt.Sprintf("listeners[%d].%s", number, name) }
+func (l *listenerSettings) listener(index int, durations *durationReader) (choice.Listener, error) {
+	field := func(name string) string { return fmt.Sprintf("listeners[%d].%s", index, name) }
 	listener := choice.Listener{
 		Name:            l.Name,
-		HandshakeTarget: spans.span(field("handshakeTarget"), l.HandshakeTarget),
-		DialTimeout:     spans.span(field("dialTimeout"), l.DialTimeout),
-		DedupWindow:     spans.span(field("repeatWindow"), l.RepeatWindow),
+		HandshakeTarget: durations.millis(field("handshakeTarget"), l.HandshakeTarget),
+		DialTimeout:     durations.millis(field("dialTimeout"), l.DialTimeout),
+		DedupWindow:     durations.millis(field("repeatWindow"), l.RepeatWindow),
 		Utility:         l.Utility,
 	}
 	switch l.Effect {
@@ -146,39 +151,40 @@
 	return listener, nil
 }
 
-func (s *moduleSettings) dialLimits(spans *spanReader) choice.DialLimits {
+func (s *balancerSettings) dialLimits(durations *durationReader) choice.DialLimits {
 	limits := choice.DialLimits{MaxDials: max(s.Ceilings.MostDials, 1)}
 	if s.Ceilings.RetryAfter {
-		limits.MaxRetryAfter = spans.span("ceilings.maxRetryAfter", s.Ceilings.MaxRetryAfter)
+		limits.MaxRetryAfter = durations.millis("ceilings.maxRetryAfter", s.Ceilings.MaxRetryAfter)
 	}
 	return limits
 }
 
-func (s *moduleSettings) listRules(spans *spanReader) choice.ListSettings {
-	rules := choice.ListSettings{
+func (s *balancerSettings) listSettings(durations *durationReader) choice.ListSettings {
+	list := choice.ListSettings{
 		NeedsSubscription: s.Discovery == "ask",
-		MaxPollInterval:   spans.span("invariants.mustAskIn", s.Invariants.MustAskIn),
-		OnlyDrainsExclude: s.Invariants.DrainsAlone,
+		MaxPollInterval:   durations.millis("invariants.mustAskIn", s.Invariants.MustAskIn),
+		OnlyDrainsExclude: s.Invariants.OnlyDrainsExclude,
 	}
-	if !rules.NeedsSubscription { // what is pushed counts as told, whether or not a watch is open: a broken one is back by then
-		rules.MaxRetryBackoff = spans.span("invariants.stopSendingWithin", s.Invariants.StopSending) / 2
+	// A pushed change counts as known whether or not a watch is open, so a broken watch must be back by then.
+	if !list.NeedsSubscription {
+		list.MaxRetryBackoff = durations.millis("invariants.stopSendingWithin", s.Invariants.StopSending) / 2
 	}
-	return rules
+	return list
 }
 
-func (s *moduleSettings) coldRule(spans *spanReader) choice.ColdSettings {
+func (s *balancerSettings) coldSettings(durations *durationReader) choice.ColdSettings {
 	return choice.ColdSettings{
-		RampDuration:     spans.span("invariants.cold", s.Invariants.Cold),
+		RampDuration:     durations.millis("invariants.cold", s.Invariants.Cold),
 		InitialShare:     s.Invariants.ColdFrom,
 		OverloadMultiple: s.Invariants.FallMultiple,
-		OverloadWindow:   spans.span("invariants.tipAfter", s.Invariants.TipAfter),
+		OverloadWindow:   durations.millis("invariants.tipAfter", s.Invariants.TipAfter),
 		ProxyCount:       max(s.GroupSize, 1),
 		ProxyIndex:       s.Me,
 	}
 }
 
-// check refuses values that are out of range or don't go together.
-func (s *moduleSettings) check(listeners []choice.Listener, list choice.ListSettings, cold choice.ColdSettings) error {
+// check returns an error for values that are out of range or contradict one another.
+func (s *balancerSettings) check(listeners []choice.Listener, list choice.ListSettings, cold choice.ColdSettings) error {
 	switch {
 	case s.Penalties.Peer < 0:
 		return fmt.Errorf("settings: penalties.peer is %v, below 0", s.Penalties.Peer)
@@ -189,11 +195,11 @@
 	case cold.OverloadMultiple < 0:
 		return fmt.Errorf("settings: fallMultiple is %v, below 0", cold.OverloadMultiple)
 	case cold.RampDuration > 0 && cold.OverloadWindow == 0:
-		return fmt.Errorf("settings: tipAfter is 0")
+		return fmt.Errorf("settings: tipAfter is 0, a cold ramp needs more")
 	case cold.InitialShare <= 0 && cold.RampDuration > 0 || cold.InitialShare > 1:
-		return fmt.Errorf("settings: coldFrom is %v, no share", cold.InitialShare)
+		return fmt.Errorf("settings: coldFrom is %v, not above 0 and at most 1", cold.InitialShare)
 	case list.NeedsSubscription && list.MaxPollInterval == 0:
-		return fmt.Errorf("settings: discovery by asking without mustAskIn")
+		return fmt.Errorf("settings: discovery \"ask\" needs mustAskIn")
 	}
 	for i, l := range listeners {
 		if l.DialTimeout == 0 {
@@ -203,32 +209,34 @@
 	return nil
 }
 
-// furtherDials takes the budget of dials beyond each session's first: stated whole, or not at all.
-func furtherDials(free, ratio, window *float64, budget *choice.RetryBudget) error {
-	if free == nil && ratio == nil && window == nil {
+// parseRetryBudget reads the budget of dials beyond each session's first. Its three settings must all be given or all be
+// absent; without them there is no budget.
+func parseRetryBudget(freeRetries, retriesPerSession, window *float64, budget *choice.RetryBudget) error {
+	if freeRetries == nil && retriesPerSession == nil && window == nil {
 		*budget = choice.RetryBudget{}
 		return nil
 	}
-	for _, of := range []struct {
+	for _, field := range []struct {
 		name  string
 		value *float64
-	}{{"freeResends", free}, {"furtherRatio", ratio}, {"budgetWindow", window}} {
-		if of.value == nil {
-			return fmt.Errorf("settings: a budget of dials without %s", of.name)
+	}{{"freeResends", freeRetries}, {"furtherRatio", retriesPerSession}, {"budgetWindow", window}} {
+		if field.value == nil {
+			return fmt.Errorf("settings: the retry budget lacks %s", field.name)
 		}
-		if *of.value < 0 || of.value == window && *window == 0 {
-			return fmt.Errorf("settings: %s is %v, out of range", of.name, *of.value)
+		if *field.value < 0 || field.value == window && *window == 0 {
+			return fmt.Errorf("settings: %s is %v, out of range", field.name, *field.value)
 		}
 	}
-	span, err := millis("invariants.budgetWindow", *window)
-	if err != nil || span == 0 {
+	duration, err := parseMillis("invariants.budgetWindow", *window)
+	if err != nil || duration == 0 {
 		return fmt.Errorf("settings: budgetWindow is %v, out of range", *window)
 	}
-	*budget = choice.RetryBudget{FreeRetries: *free, RetriesPerSession: *ratio, Window: span}
+	*budget = choice.RetryBudget{FreeRetries: *freeRetries, RetriesPerSession: *retriesPerSession, Window: duration}
 	return nil
 }
 
-func millis(name string, ms float64) (time.Duration, error) {
+// parseMillis converts milliseconds to a duration, rounded to a microsecond. The value must be in [0, 1e12).
+func parseMillis(name string, ms float64) (time.Duration, error) {
 	if !(ms >= 0 && ms < 1e12) {
 		return 0, fmt.Errorf("settings: %s is %v ms, out of range", name, ms)
 	}
--- a/internal/start/start_test.go
+++ b/internal/start/start_test.go
@@ -7,25 +7,27 @@
 	"chalkferry/choice"
 )
 
-// TestDrains: which drains bind reaches the module's part; without it the part is what it was.
+// TestDrains checks that drainBindsAlone sets OnlyDrainsExclude, which is off without it, and that groupSize and me reach the
+// cold settings either way.
 func TestDrains(t *testing.T) {
 	const head, rest = `{"listeners":[{"dialTimeout":800,"handshakeTarget":200,"effect":"read_like"}],`,
 		`"groupSize":3,"me":2,"invariants":{"mustAskIn":4000`
-	for text, alone := range map[string]bool{
+	for text, onlyDrains := range map[string]bool{
 		head + rest + `}}`:                        false,
 		head + rest + `,"drainBindsAlone":true}}`: true,
 	} {
-		_, list, cold, err := module(text)
+		_, list, cold, err := parse(text)
 		if err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
-		if list.OnlyDrainsExclude != alone || cold.ProxyCount != 3 || cold.ProxyIndex != 2 {
+		if list.OnlyDrainsExclude != onlyDrains || cold.ProxyCount != 3 || cold.ProxyIndex != 2 {
 			t.Errorf("%s: %+v %+v", text, list, cold)
 		}
 	}
 }
 
-// TestBudget: a budget of dials reaches the module's part whole, or is refused by name; left out there is none.
+// TestBudget checks that a retry budget is taken over if it is complete and valid, that an incomplete or invalid one is
+// refused with the name of the setting, and that there is none if all its settings are absent.
 func TestBudget(t *testing.T) {
 	const head = `{"listeners":[{"dialTimeout":800,"handshakeTarget":200,"effect":"read_like"}],"invariants":{`
 	for text, want := range map[string]string{
@@ -41,7 +43,7 @@
 		`"freeResends":3,"furtherRatio":0.15,"budgetWindow":1e300}}`: "out of range",
 		`"freeResends":3,"furtherRatio":"x","budgetWindow":5000}}`:   "furtherRatio",
 	} {
-		switch budget, _, _, err := module(head + text); {
+		switch budget, _, _, err := parse(head + text); {
 		case want == "" && err != nil, want != "" && (err == nil || !strings.Contains(err.Error(), want)):
 			t.Errorf("%s: %v, not %q", text, err, want)
 		case want == "" && (budget.Window > 0) != strings.Contains(text, "budgetWindow"):
@@ -50,13 +52,13 @@
 	}
 }
 
-// module reads the parts that the tests look at.
-func module(text string) (budget choice.RetryBudget, list choice.ListSettings, cold choice.ColdSettings, err error) {
+// parse returns the parts of the settings that the tests check.
+func parse(text string) (budget choice.RetryBudget, list choice.ListSettings, cold choice.ColdSettings, err error) {
 	var (
-		listeners []choice.Listener
-		dials     choice.DialLimits
-		words     choice.PeerReportSettings
+		listeners   []choice.Listener
+		dials       choice.DialLimits
+		peerReports choice.PeerReportSettings
 	)
-	err = Module([]byte(text), &listeners, &dials, &budget, &list, &cold, &words)
+	err = ParseBalancer([]byte(text), &listeners, &dials, &budget, &list, &cold, &peerReports)
 	return budget, list, cold, err
 }
