--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -223,8 +223,8 @@
 	}
 }
 
-// TestLeftBeforeItsHolder: a session that returns to the server that holds it waits for another try, and its client leaves. When
-// the server is back, nothing may be sent to it.
+// TestLeftBeforeItsHolder: a session that returns to the server that holds it waits for another try, and its client leaves.
+// When the server is back, nothing may be sent to it.
 func TestLeftBeforeItsHolder(t *testing.T) {
 	for name, leave := range waysToLeave {
 		t.Run(name, func(t *testing.T) {
@@ -714,8 +714,8 @@
 	}
 }
 
-// TestCrowdedOut: an idle connection is closed for want of descriptors while its line is in the kernel's buffer. The client must
-// get BUSY.
+// TestCrowdedOut: an idle connection is closed for want of descriptors while its line is in the kernel's buffer. The client
+// must get BUSY.
 func TestCrowdedOut(t *testing.T) {
 	r := startTestProxy(t)
 	d := connect(t, r.address)
@@ -898,7 +898,8 @@
 	connect(t, r.address).sendAndExpect(openLine(), "UP 1\r\n")
 }
 
-// TestToldBeforeReady: SIGTERM and SIGHUP come before the event loop runs, and discovery is down. The process must end by itself.
+// TestToldBeforeReady: SIGTERM and SIGHUP come before the event loop runs, and discovery is down. The process must end by
+// itself.
 func TestToldBeforeReady(t *testing.T) {
 	for _, mode := range []string{"proxy", "pass"} {
 		text := strings.Replace(fmt.Sprintf(configuration, freeAddress(t), freeAddress(t), 256), `"proxy"`, fmt.Sprintf("%q", mode), 1)
@@ -1098,8 +1099,8 @@
 	}
 }
 
-// TestStartsAtAll checks that a proxy starts with a tiny dial timeout: that timeout must not limit the start, on a machine where
-// hundreds of proxies start together.
+// TestStartsAtAll checks that a proxy starts with a tiny dial timeout: that timeout must not limit the start, on a machine
+// where hundreds of proxies start together.
 func TestStartsAtAll(t *testing.T) {
 	r := startTestProxy(t, `"dialTimeout":800`, `"dialTimeout":0.001`) // a proxy that can't start fails the test here
 	r.expectIdle()
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -18,8 +18,7 @@
 	"chalkferry/internal/discovery"
 )
 
-// TestSessions takes sessions through their whole life: PING, first lines that are valid and invalid, split and oversized lines,
-// BYE, a reset by the server, a drain, and MOVE after SIGTERM.
+// TestSessions takes sessions through their whole life: PING, valid and invalid first lines, split and oversized lines, BYE, a reset by the server, a drain, and MOVE after SIGTERM.
 func TestSessions(t *testing.T) {
 	p, address, lists := startProxy(t, 256)
 	openSession := func() clientConn {
@@ -112,8 +111,8 @@
 	}
 }
 
-// otherDeployment is the configuration of a different deployment: another mode, other times, one more listener before the others,
-// and overload reports between proxies.
+// otherDeployment is the configuration of a different deployment: another mode, other times, one more listener before the
+// others, and overload reports between proxies.
 func otherDeployment(text, peerAddress string) string {
 	return strings.NewReplacer(`"listeners":[`, `"listeners":[{"name":"tour","dialTimeout":1800,"effect":"read_like"},`,
 		`:800,"handshakeTarget":200`, `:600,"handshakeTarget":150`, `"mostDials":3`, `"mostDials":2,"peers":true`,
