--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -18,7 +18,8 @@
 	"chalkferry/internal/discovery"
 )
 
-// TestSessions takes sessions through their whole life: PING, valid and invalid first lines, split and oversized lines, BYE, a reset by the server, a drain, and MOVE after SIGTERM.
+// TestSessions takes sessions through their whole life: PING, valid and invalid first lines, split and oversized lines, BYE,
+// a reset by the server, a drain, and MOVE after SIGTERM.
 func TestSessions(t *testing.T) {
 	p, address, lists := startProxy(t, 256)
 	openSession := func() clientConn {
