--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -697,7 +697,7 @@
 }
 
 // TestPushedAndSilent checks with long dial timeouts that a discovery service that accepts the call and stays silent does not
-// keep a starting proxy from answering PING, and is called again soon after SilenceLimit at the latest.
+// keep a starting proxy from answering PING, and is called again soon after StalenessLimit at the latest.
 func TestPushedAndSilent(t *testing.T) {
 	discoveryAddress, calls := startManualDiscovery(t)
 	r := startTestProxyWithDiscovery(t, discoveryAddress, `"ask"`, `"push"`, `"mustAskIn":4000`, `"stopSendingWithin":300`,
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -35,7 +35,7 @@
 }
 
 // TestCallsAgainInTime checks that after any number and kind of failed calls, and with any poll interval of the settings, the
-// next call comes early enough to be answered within discovery.SilenceLimit, after which a change counts as known.
+// next call comes early enough to be answered within discovery.StalenessLimit, after which a change counts as known.
 func TestCallsAgainInTime(t *testing.T) {
 	for name, replacements := range map[string][]string{
 		"asked":        {`"mustAskIn":4000`, `"mustAskIn":120000`},
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestCallWithNoAnswer checks that a call that is accepted and never answered is abandoned within discovery.SilenceLimit and
+// TestCallWithNoAnswer checks that a call that is accepted and never answered is abandoned within discovery.StalenessLimit and
 // the next one follows without a pause.
 func TestCallWithNoAnswer(t *testing.T) {
 	for name, replacements := range map[string][]string{
@@ -95,7 +95,7 @@
 }
 
 // TestPausesFit checks that for any settings a failed connect and the longest pause after it leave time for the next call
-// within discovery.SilenceLimit.
+// within discovery.StalenessLimit.
 func TestPausesFit(t *testing.T) {
 	_, settings, _ := strings.Cut(fmt.Sprintf(configuration, "127.0.0.1:1", "127.0.0.1:2", 256), `"settings":`)
 	settings = strings.TrimSuffix(settings, "}")
--- a/internal/proxy/starttime.go
+++ b/internal/proxy/starttime.go
@@ -38,7 +38,7 @@
 	byProcessStart := started.Sub(processStartWall)
 	byWallNow := c.currentListAt - c.wallClock().Round(0).Sub(started)
 	serverStart := max(byProcessStart, byWallNow)
-	if c.listCount > firstComparableList { // the server has started since the previous list, which may have been late by SilenceLimit
+	if c.listCount > firstComparableList { // the server has started since the previous list, which may have been late by StalenessLimit
 		serverStart = max(serverStart, c.previousListAt-discovery.StalenessLimit)
 	}
 	return min(serverStart, c.currentListAt)
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -31,7 +31,7 @@
 
 // handleWatchFailure keeps the current list and has the balancer subscribe again. A watch that went silent is replaced at
 // once, and so is its replacement if that one is not opened either: a change that they miss counts as known after
-// discovery.SilenceLimit, without regard to any pause between calls.
+// discovery.StalenessLimit, without regard to any pause between calls.
 func (p *Proxy) handleWatchFailure(err error) {
 	p.failedWatches++
 	p.log.Warn().Err(err).Int("failures", p.failedWatches).Msg("the watch of the list failed")
