--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -12,46 +12,48 @@
 	"chalkferry/internal/failure"
 )
 
-// maxInterrupts is how often one call is made again at once; then it waits like one for which a resource is short.
-const maxInterrupts = 100
+// maxInterruptRetries is how often an interrupted call (EINTR) is repeated at once; after that it is treated like one that
+// lacks a resource, with a back-off.
+const maxInterruptRetries = 100
 
-// Conn is one connection. All is called on the loop.
+// Conn is a connection of a Loop. All methods must be called on the loop.
 type Conn struct {
-	loop       *Loop
-	fd         int
-	attachment netpoll.PollAttachment
-	context    any
-	pending    []byte // what has come and was not discarded
-	isBorrowed bool   // pending lies in the loop's buffer
-	out        []byte // what waits to be written
-	pause      failure.BackOff
-	rest       rest
+	loop        *Loop
+	fd          int
+	attachment  netpoll.PollAttachment
+	context     any
+	pending     []byte          // received bytes that the handler has not discarded
+	isBorrowed  bool            // pending points into the loop's read buffer, which the next read overwrites
+	unsent      []byte          // bytes accepted by Write that the kernel has not taken yet
+	backOff     failure.BackOff // of failed writes and of failed registrations with the poller
+	readBackOff readBackOff
 
-	isRegistered bool // with the poller
-	wantsWrite   bool // as the poller has it
-	isPaused     bool // a write waits for the end of a back-off
-	isClosed     bool
+	isRegistered  bool // with the poller
+	wantsWrite    bool // whether the poller was last told to report that the socket is writable
+	isWritePaused bool // a write waits for the end of a back-off
+	isClosed      bool
 }
 
-// FD is the connection's descriptor, for options of its socket. It must not be closed.
+// FD returns the connection's descriptor, for setting socket options. The caller must not close it.
 func (c *Conn) FD() int { return c.fd }
 
-// Context is what SetContext set last, or what the connection was adopted with.
+// Context returns the value of the last SetContext, or the one given to Loop.Adopt.
 func (c *Conn) Context() any { return c.context }
 
-// SetContext keeps a value for the handler.
+// SetContext stores a value for the handler.
 func (c *Conn) SetContext(context any) { c.context = context }
 
-// Pending returns what has come and was not discarded. It is good until the handler returns.
+// Pending returns the received bytes that were not discarded. The slice is valid until the handler returns.
 func (c *Conn) Pending() []byte { return c.pending }
 
 // Discard drops the first n bytes of Pending.
 func (c *Conn) Discard(n int) { c.pending = c.pending[n:] }
 
-// Unsent is how many bytes of what was written wait in this process, also after the connection has ended.
-func (c *Conn) Unsent() int { return len(c.out) }
+// Unsent returns how many bytes given to Write are still buffered in this process. It stays valid after the connection has
+// ended.
+func (c *Conn) Unsent() int { return len(c.unsent) }
 
-// Close closes the connection at once; what still waits to be written is not.
+// Close closes the connection at once and drops unsent bytes. It does not call the handler.
 func (c *Conn) Close() {
 	if c.isClosed {
 		return
@@ -59,12 +61,12 @@
 	c.isClosed = true
 	delete(c.loop.conns, c.fd)
 	if c.isRegistered {
-		c.loop.poller.Delete(c.fd) // closing does it, too, unless the descriptor was duplicated
+		c.loop.poller.Delete(c.fd) // unix.Close alone would not remove it if the descriptor was duplicated
 	}
-	unix.Close(c.fd) // the descriptor is free whatever it returns
+	unix.Close(c.fd) // Linux releases the descriptor even when close returns an error
 }
 
-// fail closes the connection and tells the handler.
+// fail calls the handler's OnClose with the error and closes the connection.
 func (c *Conn) fail(err error) {
 	if c.isClosed {
 		return
@@ -73,9 +75,9 @@
 	c.Close()
 }
 
-// event handles what the poller says.
-func (c *Conn) event(events netpoll.IOEvent) {
-	if events&(netpoll.WriteEvents|netpoll.ErrEvents) != 0 && !c.isPaused {
+// handleEvents handles the events that the poller reports for the connection.
+func (c *Conn) handleEvents(events netpoll.IOEvent) {
+	if events&(netpoll.WriteEvents|netpoll.ErrEvents) != 0 && !c.isWritePaused {
 		c.flush()
 	}
 	if events&(netpoll.ReadEvents|netpoll.ErrEvents) != 0 && !c.isClosed {
@@ -83,7 +85,8 @@
 	}
 }
 
-// read takes what has come, once. Another event comes while there is more.
+// read makes one read and handles its result. The poller is level-triggered and reports again while more data waits. isError
+// says that the event reports an error or a hang-up.
 func (c *Conn) read(isError bool) {
 	n, err := c.readSocket()
 	switch meaning := failure.Classify(failure.Read, err); meaning {
@@ -92,27 +95,28 @@
 			c.fail(io.EOF)
 			return
 		}
-		c.rest.reset()
-		c.received(c.loop.buffer[:n])
+		c.readBackOff.reset()
+		c.deliver(c.loop.buffer[:n])
 	case failure.NotReady:
 		if isError {
-			c.checkError()
+			c.failOnSocketError()
 		}
-		c.readNothing(err)
+		c.recordEmptyRead(err)
 	case failure.Interrupted, failure.Exhausted:
-		c.loop.failures.Note(failure.Read, err, meaning)
-		c.restFromEvents()
+		c.loop.failures.Record(failure.Read, err, meaning)
+		c.suspendEvents()
 	case failure.Broken:
-		c.loop.failures.Note(failure.Read, err, meaning)
+		c.loop.failures.Record(failure.Read, err, meaning)
 		c.loop.handler.OnBroken(c, os.NewSyscallError("read", err))
-		c.restFromEvents() // where the owner still waits for the other end
+		c.suspendEvents() // for an owner that keeps the connection open and waits for the peer
 	default:
 		c.fail(os.NewSyscallError("read", err))
 	}
 }
 
+// readSocket reads into the loop's buffer, and repeats an interrupted read.
 func (c *Conn) readSocket() (n int, err error) {
-	for range maxInterrupts {
+	for range maxInterruptRetries {
 		if n, err = unix.Read(c.fd, c.loop.buffer); failure.Classify(failure.Read, err) != failure.Interrupted {
 			break
 		}
@@ -120,12 +124,13 @@
 	return n, err
 }
 
-// received hands on what has come; what the handler leaves is kept.
-func (c *Conn) received(bytes []byte) {
+// deliver passes received bytes to the handler. Bytes that the handler does not discard are copied out of the loop's buffer and
+// kept.
+func (c *Conn) deliver(data []byte) {
 	if len(c.pending) == 0 {
-		c.pending, c.isBorrowed = bytes, true
+		c.pending, c.isBorrowed = data, true
 	} else {
-		c.pending = append(c.pending, bytes...)
+		c.pending = append(c.pending, data...)
 	}
 	c.loop.handler.OnTraffic(c)
 	switch {
@@ -137,47 +142,48 @@
 	c.isBorrowed = false
 }
 
-// checkError looks for the error of an event that a read did not return.
-func (c *Conn) checkError() {
+// failOnSocketError closes the connection if its socket has a pending error (SO_ERROR) that a read did not return.
+func (c *Conn) failOnSocketError() {
 	errno, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && errno != 0 {
 		c.fail(os.NewSyscallError("poll", syscall.Errno(errno)))
 	}
 }
 
-// Write sends bytes, at once or once the kernel takes them; a connection that fails is closed, and its handler told.
-func (c *Conn) Write(bytes []byte) {
+// Write sends bytes, at once or as soon as the kernel accepts them. If the peer has closed the connection or a write fails for
+// good, the connection is closed and the handler's OnClose is called.
+func (c *Conn) Write(data []byte) {
 	if c.isClosed {
 		return
 	}
-	if len(c.out) > 0 {
-		c.out = append(c.out, bytes...)
+	if len(c.unsent) > 0 {
+		c.unsent = append(c.unsent, data...)
 		return
 	}
-	n, err := c.writeSocket(bytes)
-	c.out = append(c.out, bytes[n:]...)
-	c.wrote(err)
+	n, err := c.writeSocket(data)
+	c.unsent = append(c.unsent, data[n:]...)
+	c.handleWriteResult(err)
 }
 
-// flush writes what waits.
+// flush writes unsent bytes.
 func (c *Conn) flush() {
-	if c.isClosed || len(c.out) == 0 {
+	if c.isClosed || len(c.unsent) == 0 {
 		return
 	}
-	n, err := c.writeSocket(c.out)
-	if c.out = c.out[n:]; len(c.out) == 0 {
-		c.out = nil
+	n, err := c.writeSocket(c.unsent)
+	if c.unsent = c.unsent[n:]; len(c.unsent) == 0 {
+		c.unsent = nil
 	}
-	c.wrote(err)
+	c.handleWriteResult(err)
 }
 
-// writeSocket writes until all is written or a call fails, and returns how much was.
-func (c *Conn) writeSocket(bytes []byte) (written int, err error) {
+// writeSocket writes until all bytes are written or a call fails, and returns how many were written.
+func (c *Conn) writeSocket(data []byte) (written int, err error) {
 	interrupts := 0
-	for written < len(bytes) {
-		n, err := unix.Write(c.fd, bytes[written:])
+	for written < len(data) {
+		n, err := unix.Write(c.fd, data[written:])
 		written += max(n, 0)
-		if failure.Classify(failure.Write, err) == failure.Interrupted && interrupts < maxInterrupts {
+		if failure.Classify(failure.Write, err) == failure.Interrupted && interrupts < maxInterruptRetries {
 			interrupts++
 			continue
 		}
@@ -188,18 +194,18 @@
 	return written, nil
 }
 
-// wrote goes on after a write, by its error.
-func (c *Conn) wrote(err error) {
+// handleWriteResult acts on the error of a write, nil for none.
+func (c *Conn) handleWriteResult(err error) {
 	meaning := failure.Classify(failure.Write, err)
 	switch meaning {
 	case failure.None:
-		c.pause.Reset()
+		c.backOff.Reset()
 	case failure.NotReady:
 	case failure.Interrupted, failure.Exhausted:
-		c.loop.failures.Note(failure.Write, err, meaning)
+		c.loop.failures.Record(failure.Write, err, meaning)
 		c.flushLater()
 	case failure.Broken:
-		c.loop.failures.Note(failure.Write, err, meaning)
+		c.loop.failures.Record(failure.Write, err, meaning)
 		c.flushLater()
 		c.loop.handler.OnBroken(c, os.NewSyscallError("write", err))
 	default:
@@ -209,22 +215,23 @@
 	c.updateInterest()
 }
 
-// flushLater writes again after a back-off. Until then the poller is not asked: the connection may well be writable.
+// flushLater writes again after a back-off. Until then the poller is not asked for write events: the socket may well be
+// writable, and the events would come without a pause.
 func (c *Conn) flushLater() {
-	if c.isPaused {
+	if c.isWritePaused {
 		return
 	}
-	c.isPaused = true
-	c.loop.after(c.pause.Next(), func() {
-		c.isPaused = false
+	c.isWritePaused = true
+	c.loop.executeAfter(c.backOff.Next(), func() {
+		c.isWritePaused = false
 		c.flush()
 	})
 }
 
-// updateInterest tells the poller what to wait for: input always, and output while something waits to be written.
+// updateInterest tells the poller which events to report: read events always, and write events while unsent bytes wait.
 func (c *Conn) updateInterest() {
-	wantsWrite := len(c.out) > 0 && !c.isPaused
-	if c.isClosed || c.rest.isActive || c.isRegistered && wantsWrite == c.wantsWrite {
+	wantsWrite := len(c.unsent) > 0 && !c.isWritePaused
+	if c.isClosed || c.readBackOff.isActive || c.isRegistered && wantsWrite == c.wantsWrite {
 		return
 	}
 	err := c.register(wantsWrite)
@@ -235,15 +242,16 @@
 	switch meaning := failure.Classify(failure.Register, err); {
 	case meaning == failure.None:
 		c.isRegistered, c.wantsWrite = true, wantsWrite
-	case meaning.Passes():
-		c.loop.failures.Note(failure.Register, err, meaning)
-		c.loop.after(c.pause.Next(), c.updateInterest)
+	case meaning.IsTemporary():
+		c.loop.failures.Record(failure.Register, err, meaning)
+		c.loop.executeAfter(c.backOff.Next(), c.updateInterest)
 	default:
-		c.loop.failures.Note(failure.Register, err, meaning)
+		c.loop.failures.Record(failure.Register, err, meaning)
 		c.fail(err)
 	}
 }
 
+// register adds the connection to the poller, or changes the events for which it is registered.
 func (c *Conn) register(wantsWrite bool) error {
 	switch {
 	case !c.isRegistered && wantsWrite:
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -12,24 +12,26 @@
 	"chalkferry/internal/failure"
 )
 
-// maxBacklog is above every kernel's own limit, so that that one holds.
+// maxBacklog is the length of the queue of connections that wait to be accepted. It is above the limit of every kernel
+// (net.core.somaxconn), so that the kernel's limit applies.
 const maxBacklog = 1<<16 - 1
 
-// listener is the listening socket, and the pauses between calls that fail.
+// listener is the listening socket and the state of its back-off.
 type listener struct {
 	fd       int
-	pause    failure.BackOff
-	isPaused bool // accepting goes on after a back-off
+	backOff  failure.BackOff // between calls of accept that fail
+	isPaused bool            // accepting continues after a back-off
 }
 
-// listen opens a listening socket. Its port can be shared by processes, and its connections send small writes at once.
+// listen opens a listening socket. Other processes may listen on the same port (SO_REUSEPORT), and accepted connections inherit
+// TCP_NODELAY.
 func listen(address string) (fd int, err error) {
 	resolved, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
 		return -1, err
 	}
-	at := &unix.SockaddrInet4{Port: resolved.Port}
-	copy(at.Addr[:], resolved.IP.To4())
+	socketAddress := &unix.SockaddrInet4{Port: resolved.Port}
+	copy(socketAddress.Addr[:], resolved.IP.To4())
 	if fd, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, unix.IPPROTO_TCP); err != nil {
 		return -1, os.NewSyscallError("socket", err)
 	}
@@ -38,7 +40,7 @@
 		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1),
 		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1))
 	if err == nil {
-		err = os.NewSyscallError("bind", unix.Bind(fd, at))
+		err = os.NewSyscallError("bind", unix.Bind(fd, socketAddress))
 	}
 	if err == nil {
 		err = os.NewSyscallError("listen", unix.Listen(fd, maxBacklog))
@@ -50,53 +52,55 @@
 	return fd, nil
 }
 
-// ListenerFD is the listener's descriptor, for options of its socket. It must not be closed.
+// ListenerFD returns the listener's descriptor, for setting socket options. The caller must not close it.
 func (l *Loop) ListenerFD() int { return l.listener.fd }
 
-// HasWaiting reports whether a connection waits to be accepted, or the kernel did not say.
-func (l *Loop) HasWaiting() bool {
-	poll := []unix.PollFd{{Fd: int32(l.listener.fd), Events: unix.POLLIN}}
-	n, err := unix.Poll(poll, 0)
+// HasQueuedConnections reports whether a connection waits to be accepted. It also returns true when poll(2) fails, as the state
+// is then unknown.
+func (l *Loop) HasQueuedConnections() bool {
+	pollFDs := []unix.PollFd{{Fd: int32(l.listener.fd), Events: unix.POLLIN}}
+	n, err := unix.Poll(pollFDs, 0)
 	return err != nil || n > 0
 }
 
-// maxAccepts is how many connections are accepted in one event, so that others have their turn.
-const maxAccepts = 16
+// maxAcceptsPerEvent is how many connections one event accepts at most, so that the events of other descriptors are not
+// delayed.
+const maxAcceptsPerEvent = 16
 
-// maxAcceptFailures is how many failures in a row for want of a resource are followed by another call at once. Pauses after
-// each would hold up a crowd for longer than its clients wait.
-const maxAcceptFailures = 4
+// maxConsecutiveAcceptFailures is how many failures in a row for lack of a resource are retried at once before accepting
+// pauses. A pause after each failure would delay a burst of connections for longer than its clients wait.
+const maxConsecutiveAcceptFailures = 4
 
-// accept takes connections from the queue. Another event comes while there are more.
+// accept accepts queued connections. The poller is level-triggered and reports again while more are queued.
 func (l *Loop) accept() {
 	if l.listener.isPaused {
-		l.removeListener()
+		l.unregisterListener()
 		return
 	}
 	failures := 0
-	for range maxAccepts {
+	for range maxAcceptsPerEvent {
 		fd, err := acceptConnection(l.listener.fd)
 		switch meaning := failure.Classify(failure.Accept, err); meaning {
 		case failure.None:
 			failures = 0
-			l.listener.pause.Reset()
+			l.listener.backOff.Reset()
 			l.add(fd, nil)
 		case failure.NotReady:
 			return
 		case failure.Exhausted:
-			l.failures.Note(failure.Accept, err, meaning)
-			if failures++; failures > maxAcceptFailures {
+			l.failures.Record(failure.Accept, err, meaning)
+			if failures++; failures > maxConsecutiveAcceptFailures {
 				l.pauseAccept()
 				return
 			}
-		default: // the next call is for the next connection
-			l.failures.Note(failure.Accept, err, meaning)
+		default: // discarded or interrupted: the next call may return the next connection in the queue
+			l.failures.Record(failure.Accept, err, meaning)
 		}
 	}
 }
 
-// acceptConnection is accept4(2) without the peer's address: the wrapper of x/sys asks for more to return that, and closes
-// the connection when it does not get it.
+// acceptConnection calls accept4(2) without asking for the peer's address. The wrapper of golang.org/x/sys asks for it, which
+// needs more resources, and closes the connection when it does not get the address.
 func acceptConnection(listener int) (fd int, err error) {
 	accepted, _, errno := unix.Syscall6(unix.SYS_ACCEPT4, uintptr(listener), 0, 0, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0, 0)
 	if errno != 0 {
@@ -105,34 +109,36 @@
 	return int(accepted), nil
 }
 
-// pauseAccept leaves the listener alone for a moment: its event would come again and again.
+// pauseAccept removes the listener from the poller for a back-off: its event would be reported again and again.
 func (l *Loop) pauseAccept() {
 	l.listener.isPaused = true
-	l.removeListener()
-	l.after(l.listener.pause.Next(), l.resumeAccept)
+	l.unregisterListener()
+	l.executeAfter(l.listener.backOff.Next(), l.resumeAccept)
 }
 
-// removeListener takes the listener from the poller. If that fails it is tried again at the next event.
-func (l *Loop) removeListener() {
+// unregisterListener removes the listener from the poller. A failure is retried at the next event.
+func (l *Loop) unregisterListener() {
 	if err := l.poller.Delete(l.listener.fd); err != nil && !errors.Is(err, syscall.ENOENT) {
-		l.failures.Note(failure.Register, err, failure.Classify(failure.Register, err))
+		l.failures.Record(failure.Register, err, failure.Classify(failure.Register, err))
 	}
 }
 
+// resumeAccept registers the listener with the poller again, and retries until that succeeds.
 func (l *Loop) resumeAccept() {
 	l.listener.isPaused = false
 	err := l.poller.AddRead(&netpoll.PollAttachment{FD: l.listener.fd}, false)
 	if err != nil && !errors.Is(err, syscall.EEXIST) {
-		l.failures.Note(failure.Register, err, failure.Classify(failure.Register, err))
-		l.after(l.listener.pause.Next(), l.resumeAccept) // whatever it means: without it no client is ever served again
+		l.failures.Record(failure.Register, err, failure.Classify(failure.Register, err))
+		// even after a permanent failure: without the listener no client is served
+		l.executeAfter(l.listener.backOff.Next(), l.resumeAccept)
 	}
 }
 
-// errNoDescriptor is of a connection that is not a socket of this machine.
+// errNoDescriptor is returned for a connection that is not backed by a descriptor of the kernel, such as a net.Pipe.
 var errNoDescriptor = errors.New("the connection has no descriptor")
 
-// duplicate returns a descriptor of its own for an established connection.
-func duplicate(conn net.Conn) (fd int, err error) {
+// duplicateDescriptor returns a new descriptor for an established connection.
+func duplicateDescriptor(conn net.Conn) (fd int, err error) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return -1, errNoDescriptor
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,9 +1,11 @@
-// Package eventloop runs connections on one goroutine: it accepts them, reads and writes them, and runs tasks that other
-// goroutines hand to it. It waits by gnet's poller; all other calls are made here, and what a failed one means is decided by
-// package failure alone. A failure that passes ends neither the loop nor a connection. Protocols and timers are its users'.
+// Package eventloop runs TCP connections on one goroutine: it accepts, reads and writes them, and runs tasks that other
+// goroutines submit. It waits with gnet's epoll poller and makes all other system calls itself. Package failure decides what a
+// failed call means; a temporary failure ends neither the loop nor a connection. Protocols and timeouts are left to the users
+// of the package.
 //
-// gnet's own engine is not used, as it ends the loop on an accept4 that fails with ENFILE, closes a connection whose read or
-// write is interrupted, drops one that epoll_ctl has no memory for, and never wakes again after an eventfd write that failed.
+// The package does not use gnet's own engine, which ends the loop when accept4 fails with ENFILE, closes a connection whose
+// read or write is interrupted by a signal, drops a connection when epoll_ctl fails for lack of memory, and does not wake again
+// after a failed write to its eventfd.
 package eventloop
 
 import (
@@ -19,46 +21,48 @@
 	"chalkferry/internal/failure"
 )
 
-// readBufferBytes is the most that one read takes from a connection.
+// readBufferBytes is the size of the loop's read buffer, and so the most that one read takes from a connection.
 const readBufferBytes = 64 << 10
 
-// Handler is told what happens to connections, on the event loop.
+// Handler receives the events of connections. All methods are called on the event loop.
 type Handler interface {
-	// OnOpen is called once for each connection, before all else.
+	// OnOpen is called once for each connection, before all other methods.
 	OnOpen(c *Conn)
-	// OnTraffic is called when something has come, which c.Pending returns.
+	// OnTraffic is called when data has arrived; Conn.Pending returns it.
 	OnTraffic(c *Conn)
-	// OnBroken is called when a read or write failed though the other end has ended nothing. The connection is still open:
-	// a last line may reach an end that is well, and a connection that is gone is closed by the next call on it.
+	// OnBroken is called when a read or write failed because the network path has failed, though the peer has not closed the
+	// connection. The connection stays open: the peer may still be running and receive a last line. If the connection is really
+	// gone, the next call on it closes it.
 	OnBroken(c *Conn, err error)
-	// OnClose is called when the other end has ended the connection, with io.EOF, or with the error of a failed call. It may
-	// come in the midst of a write. It is not called for what Conn.Close closes.
+	// OnClose is called when the peer has closed the connection, with io.EOF, or with the error of a failed call. It may be
+	// called during Conn.Write. It is not called for a connection that Conn.Close closes.
 	OnClose(c *Conn, err error)
 }
 
-// Loop is one event loop with one listener.
+// Loop is an event loop with one listener.
 type Loop struct {
 	handler  Handler
 	failures *failure.Log
 	poller   *netpoll.Poller
 	listener listener
-	waker    int // an eventfd
-	conns    map[int]*Conn
-	buffer   []byte
-	done     chan struct{}
+	wakeFD   int           // an eventfd; a write to it wakes the loop to run tasks
+	conns    map[int]*Conn // by descriptor
+	buffer   []byte        // shared by all reads, readBufferBytes long
+	done     chan struct{} // closed once Run has ended
 
-	isStopping  bool // set on the loop
-	strayEvents int  // since the last event of a connection
+	isStopping               bool // read and written on the loop only
+	consecutiveUnknownEvents int  // events of unknown descriptors since the last event of a connection
 
-	mu       sync.Mutex // guards all below, and the waker's descriptor
-	tasks    []func()
-	isWoken  bool // the waker was written since the tasks were taken last, or will be
-	isClosed bool
+	mu            sync.Mutex // guards the fields below and the descriptor in wakeFD
+	tasks         []func()
+	isWakePending bool // wakeFD was written since the loop last took the tasks, or the write is being retried
+	isClosed      bool
 }
 
-// Open makes a loop with a listener at a TCP address, IPv4. Nothing is accepted before Run.
+// Open creates a loop with a listener at an IPv4 TCP address. No connection is accepted before Run. The loop records failed
+// system calls in failures, which may be nil.
 func Open(address string, handler Handler, failures *failure.Log) (*Loop, error) {
-	l := &Loop{handler: handler, failures: failures, waker: -1, conns: map[int]*Conn{}, buffer: make([]byte, readBufferBytes),
+	l := &Loop{handler: handler, failures: failures, wakeFD: -1, conns: map[int]*Conn{}, buffer: make([]byte, readBufferBytes),
 		done: make(chan struct{})}
 	if err := l.open(address); err != nil {
 		l.release()
@@ -75,82 +79,84 @@
 	if l.poller, err = netpoll.OpenPoller(); err != nil {
 		return err
 	}
-	if l.waker, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
+	if l.wakeFD, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
 		return err
 	}
-	if err := l.registerWaker(); err != nil {
+	if err := l.registerWakeFD(); err != nil {
 		return err
 	}
 	return l.poller.AddRead(&netpoll.PollAttachment{FD: l.listener.fd}, false)
 }
 
-// registerWaker has each write to the waker reported once (edge-triggered), and not for as long as it could be read: a read that
-// fails would be made again without a pause.
-func (l *Loop) registerWaker() error {
-	return l.poller.AddRead(&netpoll.PollAttachment{FD: l.waker}, true)
+// registerWakeFD registers wakeFD with edge-triggered events, so that each write to it is reported once. With level-triggered
+// events, a read that fails would be repeated without a pause.
+func (l *Loop) registerWakeFD() error {
+	return l.poller.AddRead(&netpoll.PollAttachment{FD: l.wakeFD}, true)
 }
 
-// release closes what the loop has opened.
+// release closes all connections and descriptors of the loop.
 func (l *Loop) release() {
 	for _, c := range l.conns {
-		if len(c.out) > 0 {
-			unix.Write(c.fd, c.out) // what the kernel takes at once may still arrive
+		if len(c.unsent) > 0 {
+			unix.Write(c.fd, c.unsent) // best effort: sends what fits into the socket buffer
 		}
 		c.Close()
 	}
 	if l.listener.fd >= 0 {
 		unix.Close(l.listener.fd)
 	}
-	l.closeWaker()
+	l.closeWakeFD()
 	if l.poller != nil {
 		l.poller.Close()
 	}
 }
 
-// closeWaker closes the waker; its number may soon be another descriptor's, which must not be written.
-func (l *Loop) closeWaker() {
+// closeWakeFD closes wakeFD and drops the tasks. No write may follow: the kernel may reuse the descriptor's number for another
+// file.
+func (l *Loop) closeWakeFD() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.isClosed, l.tasks = true, nil
-	if l.waker >= 0 {
-		unix.Close(l.waker)
+	if l.wakeFD >= 0 {
+		unix.Close(l.wakeFD)
 	}
 }
 
-// Run serves until Stop is called.
+// Run serves until Stop is called, then closes everything that the loop has opened. It returns the error of a poller that has
+// failed.
 func (l *Loop) Run() error {
 	defer close(l.done)
 	defer l.release()
-	err := l.poller.Polling(l.event)
+	err := l.poller.Polling(l.handleEvent)
 	if errors.Is(err, gneterrors.ErrEngineShutdown) {
 		return nil
 	}
 	return err
 }
 
-// Stop ends Run; Done tells when it has ended.
+// Stop makes Run return. It does not wait; Done reports the end.
 func (l *Loop) Stop() {
 	l.Execute(func() { l.isStopping = true })
 }
 
-// Done is closed once Run has ended and all is closed.
+// Done returns a channel that is closed once Run has ended and all descriptors are closed.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// event handles one event of the poller. An error would end the poller's loop, so there is none but at the end.
-func (l *Loop) event(fd int, events netpoll.IOEvent, _ netpoll.IOFlags) error {
+// handleEvent handles one event of the poller. The poller's loop ends when it returns an error, so it returns one only to stop.
+func (l *Loop) handleEvent(fd int, events netpoll.IOEvent, _ netpoll.IOFlags) error {
 	c := l.conns[fd]
 	if c != nil {
-		l.strayEvents = 0
+		l.consecutiveUnknownEvents = 0
 	}
 	switch {
 	case c != nil:
-		c.event(events)
+		c.handleEvents(events)
 	case fd == l.listener.fd:
 		l.accept()
-	case fd == l.waker:
+	case fd == l.wakeFD:
 		l.runTasks()
 	default:
-		l.removeStray(fd)
+		l.unregisterUnknown(fd)
 	}
 	if l.isStopping {
 		return gneterrors.ErrEngineShutdown
@@ -158,20 +164,22 @@
 	return nil
 }
 
-// errStray is of an event of a descriptor that is no connection of the loop.
-var errStray = errors.New("an event of a descriptor that is not the loop's")
+// errUnknownDescriptor is recorded for an event of a descriptor that is not a connection of the loop.
+var errUnknownDescriptor = errors.New("an event of a descriptor that is not the loop's")
 
-// removeStray takes a descriptor from the poller that nobody handles: its event would come again and again. One may be left
-// by an earlier call that failed, or by a duplicate of a descriptor that was closed. An event of a connection that was closed
-// a moment ago has nothing to be taken, which is no failure unless it comes again and again.
-func (l *Loop) removeStray(fd int) {
-	l.strayEvents++
-	if err := l.poller.Delete(fd); err == nil || l.strayEvents > maxEmptyEvents {
-		l.failures.Note(failure.Register, errors.Join(errStray, err), failure.Discarded)
+// unregisterUnknown removes a descriptor without a handler from the poller, which would report it again and again. One may be
+// left over from an earlier call that failed, or from a duplicate of a descriptor that was closed. An event of a connection
+// that was closed a moment ago finds nothing to remove; this is recorded as a failure only if it happens more than
+// maxConsecutiveEmptyEvents times in a row.
+func (l *Loop) unregisterUnknown(fd int) {
+	l.consecutiveUnknownEvents++
+	if err := l.poller.Delete(fd); err == nil || l.consecutiveUnknownEvents > maxConsecutiveEmptyEvents {
+		l.failures.Record(failure.Register, errors.Join(errUnknownDescriptor, err), failure.Discarded)
 	}
 }
 
-// Execute runs a task on the loop, from any goroutine; tasks run in order. A task for a loop that has ended is dropped.
+// Execute submits a task to the loop; any goroutine may call it, and it does not wait. Tasks run in the order of submission. A
+// task for a loop that has ended is dropped.
 func (l *Loop) Execute(task func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -179,72 +187,75 @@
 		return
 	}
 	l.tasks = append(l.tasks, task)
-	if !l.isWoken {
-		l.isWoken = true
+	if !l.isWakePending {
+		l.isWakePending = true
 		l.wake()
 	}
 }
 
-// wakePause is the time to the next write to the waker after one that failed.
-const wakePause = time.Millisecond
+// wakeRetryDelay is the delay before a failed write to wakeFD is repeated.
+const wakeRetryDelay = time.Millisecond
 
-// wake writes to the waker until that succeeds: nobody else will, as long as isWoken is set. It needs the lock.
+// wake writes to wakeFD, and retries until a write succeeds: no other caller writes while isWakePending is set. The caller must
+// hold mu.
 func (l *Loop) wake() {
 	one := [8]byte{1}
-	_, err := unix.Write(l.waker, one[:])
-	for range maxInterrupts {
+	_, err := unix.Write(l.wakeFD, one[:])
+	for range maxInterruptRetries {
 		if failure.Classify(failure.Wake, err) != failure.Interrupted {
 			break
 		}
-		_, err = unix.Write(l.waker, one[:])
+		_, err = unix.Write(l.wakeFD, one[:])
 	}
 	if meaning := failure.Classify(failure.Wake, err); meaning != failure.None {
-		l.failures.Note(failure.Wake, err, meaning)
-		time.AfterFunc(wakePause, l.wakeAgain) // not here: this may be the loop's own goroutine
+		l.failures.Record(failure.Wake, err, meaning)
+		time.AfterFunc(wakeRetryDelay, l.retryWake) // no wait here: this may be the loop's own goroutine
 	}
 }
 
-// wakeAgain does so unless the loop has taken the tasks, or has ended.
-func (l *Loop) wakeAgain() {
+// retryWake repeats a failed wake unless the loop has taken the tasks meanwhile, or has ended.
+func (l *Loop) retryWake() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.isWoken && !l.isClosed {
+	if l.isWakePending && !l.isClosed {
 		l.wake()
 	}
 }
 
+// runTasks clears wakeFD and runs all submitted tasks.
 func (l *Loop) runTasks() {
 	var count [8]byte
-	unix.Read(l.waker, count[:]) // one that fails costs nothing: the next write is reported all the same
+	unix.Read(l.wakeFD, count[:]) // a failure does no harm: edge-triggered, the next write is reported all the same
 	l.mu.Lock()
 	tasks := l.tasks
-	l.tasks, l.isWoken = nil, false
+	l.tasks, l.isWakePending = nil, false
 	l.mu.Unlock()
 	for _, task := range tasks {
 		task()
 	}
 }
 
-// after runs a task on the loop after a pause.
-func (l *Loop) after(pause time.Duration, task func()) {
-	time.AfterFunc(pause, func() { l.Execute(task) })
+// executeAfter runs a task on the loop after a delay.
+func (l *Loop) executeAfter(delay time.Duration, task func()) {
+	time.AfterFunc(delay, func() { l.Execute(task) })
 }
 
-// Adopt hands a connection that was established elsewhere over to the loop, from any goroutine. The loop has a descriptor of
-// its own; the caller still has to close conn. done is called on the loop after the handler's OnOpen.
-func (l *Loop) Adopt(conn net.Conn, context any, done func()) error {
-	fd, err := duplicate(conn)
+// Adopt gives the loop a connection that was established elsewhere; any goroutine may call it. The loop uses a duplicate of the
+// descriptor, so the caller still has to close conn. context becomes the Conn's context. onAdopted is called on the loop after
+// the handler's OnOpen. The error is that of duplicating the descriptor.
+func (l *Loop) Adopt(conn net.Conn, context any, onAdopted func()) error {
+	fd, err := duplicateDescriptor(conn)
 	if err != nil {
 		return err
 	}
 	l.Execute(func() {
 		l.add(fd, context)
-		done()
+		onAdopted()
 	})
 	return nil
 }
 
-// add takes a connection over, on the loop.
+// add starts to serve a descriptor as a connection. It is called on the loop.
 func (l *Loop) add(fd int, context any) {
 	c := &Conn{loop: l, fd: fd, attachment: netpoll.PollAttachment{FD: fd}, context: context}
 	l.conns[fd] = c
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -16,36 +16,36 @@
 	"chalkferry/internal/failure"
 )
 
-// echo sends back what comes, in lines, and notes how connections end.
-type echo struct {
-	mu     sync.Mutex
-	opened int
-	ends   []error
+// echoHandler sends back all complete lines, and records how connections end.
+type echoHandler struct {
+	mu          sync.Mutex
+	opened      int
+	closeErrors []error
 }
 
-func (e *echo) OnOpen(*Conn) {
+func (e *echoHandler) OnOpen(*Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.opened++
 }
 
-func (e *echo) OnTraffic(c *Conn) {
-	if at := strings.LastIndexByte(string(c.Pending()), '\n'); at >= 0 {
-		c.Write(c.Pending()[:at+1])
-		c.Discard(at + 1)
+func (e *echoHandler) OnTraffic(c *Conn) {
+	if lineEnd := strings.LastIndexByte(string(c.Pending()), '\n'); lineEnd >= 0 {
+		c.Write(c.Pending()[:lineEnd+1])
+		c.Discard(lineEnd + 1)
 	}
 }
 
-func (e *echo) OnBroken(*Conn, error) {}
+func (e *echoHandler) OnBroken(*Conn, error) {}
 
-func (e *echo) OnClose(_ *Conn, err error) {
+func (e *echoHandler) OnClose(_ *Conn, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.ends = append(e.ends, err)
+	e.closeErrors = append(e.closeErrors, err)
 }
 
-// started is a loop that runs until the test's end.
-func started(t *testing.T, handler Handler) (l *Loop, address string) {
+// startLoop returns a running loop and its listener's address. The loop is stopped at the end of the test.
+func startLoop(t *testing.T, handler Handler) (l *Loop, address string) {
 	t.Helper()
 	l, err := Open("127.0.0.1:0", handler, nil)
 	if err != nil {
@@ -55,22 +55,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- l.Run() }()
+	runResult := make(chan error, 1)
+	go func() { runResult <- l.Run() }()
 	t.Cleanup(func() {
 		l.Stop()
-		if err := <-ended; err != nil {
-			t.Errorf("Run returns %v", err)
+		if err := <-runResult; err != nil {
+			t.Errorf("Run returned %v", err)
 		}
 	})
 	return l, (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: name.(*unix.SockaddrInet4).Port}).String()
 }
 
-// TestLines: whatever the pieces that lines come in, all comes back, also of a reader that lets much wait; and the end of a
-// connection is told once.
+// TestLines checks that lines are returned whole however they are split into packets, also while the client does not read and
+// the loop has to buffer, and that OnClose is called once with io.EOF.
 func TestLines(t *testing.T) {
-	handler := &echo{}
-	_, address := started(t, handler)
+	handler := &echoHandler{}
+	_, address := startLoop(t, handler)
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
 	const lines = 40000
 	line := strings.Repeat("x", 100) + "\n"
-	go func() { // not read meanwhile at first, so that the loop has to wait for room
+	go func() { // nothing is read at first, so that the loop has to wait until the socket buffer has room
 		text := strings.Repeat(line, lines)
 		for len(text) > 0 {
 			n := min(len(text), 77777)
@@ -92,30 +92,30 @@
 	reader := bufio.NewReader(conn)
 	for i := range lines {
 		if got, err := reader.ReadString('\n'); got != line {
-			t.Fatalf("line %d: %d bytes, %v", i, len(got), err)
+			t.Fatalf("line %d: got %d bytes, error %v", i, len(got), err)
 		}
 	}
 	conn.Close()
 	for range 200 {
 		handler.mu.Lock()
-		ends := len(handler.ends)
+		closeCount := len(handler.closeErrors)
 		handler.mu.Unlock()
-		if ends > 0 {
+		if closeCount > 0 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	handler.mu.Lock()
 	defer handler.mu.Unlock()
-	if len(handler.ends) != 1 || !errors.Is(handler.ends[0], io.EOF) || handler.opened != 1 {
-		t.Errorf("%d opened, ends %v", handler.opened, handler.ends)
+	if len(handler.closeErrors) != 1 || !errors.Is(handler.closeErrors[0], io.EOF) || handler.opened != 1 {
+		t.Errorf("%d connections opened and OnClose called with %v, want 1 and one io.EOF", handler.opened, handler.closeErrors)
 	}
 }
 
-// TestEndedLoopWritesNothing: tasks for a loop that has ended are dropped; the number of its eventfd may be another file's
-// by then, and nothing is written there.
+// TestEndedLoopWritesNothing checks that a loop that has ended drops tasks without a write to its eventfd: another file may
+// have the descriptor's number by then.
 func TestEndedLoopWritesNothing(t *testing.T) {
-	l, err := Open("127.0.0.1:0", &echo{}, nil)
+	l, err := Open("127.0.0.1:0", &echoHandler{}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,23 +128,23 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	if int(file.Fd()) != l.waker { // the numbers that the loop has closed are given anew
-		if err := unix.Dup3(int(file.Fd()), l.waker, unix.O_CLOEXEC); err != nil {
+	if int(file.Fd()) != l.wakeFD { // make the number refer to the file if the kernel has not reused it by itself
+		if err := unix.Dup3(int(file.Fd()), l.wakeFD, unix.O_CLOEXEC); err != nil {
 			t.Fatal(err)
 		}
-		defer unix.Close(l.waker)
+		defer unix.Close(l.wakeFD)
 	}
-	l.Execute(func() { t.Error("a task runs") })
-	l.wakeAgain()
+	l.Execute(func() { t.Error("a task ran after the loop had ended") })
+	l.retryWake()
 	if info, err := file.Stat(); err != nil || info.Size() != 0 {
-		t.Errorf("%d bytes written, %v", info.Size(), err)
+		t.Errorf("%d bytes written to the file that has the eventfd's old number, error %v", info.Size(), err)
 	}
 }
 
-// TestAdopt: a connection that was established elsewhere is served like one that was accepted, and the caller's may be
-// closed; a listener's queue is told.
+// TestAdopt checks that a connection that was established elsewhere is served like an accepted one, also after the caller has
+// closed its own, and that one without a descriptor is refused.
 func TestAdopt(t *testing.T) {
-	l, _ := started(t, &echo{})
+	l, _ := startLoop(t, &echoHandler{})
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -154,24 +154,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := server.Accept()
+	peer, err := server.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
-	other.SetDeadline(time.Now().Add(10 * time.Second))
+	defer peer.Close()
+	peer.SetDeadline(time.Now().Add(10 * time.Second))
 	done := make(chan struct{})
 	if err := l.Adopt(conn, "context", func() { close(done) }); err != nil {
 		t.Fatal(err)
 	}
 	conn.Close()
 	<-done
-	io.WriteString(other, "a line\n")
-	if got, err := bufio.NewReader(other).ReadString('\n'); got != "a line\n" {
-		t.Errorf("%q, %v", got, err)
+	io.WriteString(peer, "a line\n")
+	if got, err := bufio.NewReader(peer).ReadString('\n'); got != "a line\n" {
+		t.Errorf("echo is %q, error %v", got, err)
 	}
-	ends, _ := net.Pipe()
-	if err := l.Adopt(ends, nil, nil); failure.Classify(failure.HandOver, err) != failure.Permanent {
-		t.Errorf("a connection without a descriptor: %v", err)
+	pipe, _ := net.Pipe()
+	if err := l.Adopt(pipe, nil, nil); failure.Classify(failure.HandOver, err) != failure.Permanent {
+		t.Errorf("a connection without a descriptor: error %v, want a permanent one", err)
 	}
 }
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,6 +1,7 @@
-// Package failure decides what a failed system call means for the program: whether it is made again, at once or after a
-// back-off, whether it ends one connection, and how, or whether nothing more can be done. It is the one place where that is
-// decided, by call and errno; callers only act on the meaning. The sources are the calls' Linux manual pages.
+// Package failure decides what a failed system call means: whether the caller repeats it, at once or after a back-off, whether
+// one connection is lost, and how, or whether nothing more can be done. It is the only place where that is decided, by call and
+// errno; callers act on the Meaning alone. The classification follows the Linux manual pages of the calls. The package also
+// counts and logs failures and offers a back-off and a retry loop.
 package failure
 
 import (
@@ -8,80 +9,82 @@
 	"syscall"
 )
 
-// Call is a kind of system call. Calls of one kind fail with the same meanings.
+// Call is a kind of system call. The same errno has the same Meaning for all calls of a kind.
 type Call int
 
-// Calls.
+// Kinds of system calls. Their String values are used in the log.
 const (
 	Accept    Call = iota // accept4(2) on the listener
 	Read                  // read(2) and recvfrom(2) on a connection
 	Write                 // write(2) on a connection
 	Register              // epoll_ctl(2)
-	Wake                  // write(2) on the event loop's eventfd
+	Wake                  // write(2) on the eventfd that wakes the event loop
 	Connect               // socket(2) and connect(2)
-	HandOver              // fcntl(2) that gives the event loop its own descriptor
+	HandOver              // fcntl(2) that duplicates a descriptor for the event loop
 	Option                // setsockopt(2) and shutdown(2)
-	Listen                // what opens a listener: socket(2), bind(2), listen(2), epoll_create1(2), eventfd(2)
+	Listen                // calls that open a listener: socket(2), bind(2), listen(2), epoll_create1(2), eventfd(2)
 	OpenFile              // open(2) and read(2) of a file
-	WriteFile             // what makes data durable: open(2), write(2), ftruncate(2), fsync(2)
+	WriteFile             // calls that make data durable: open(2), write(2), ftruncate(2), fsync(2)
 	callCount
 )
 
+// String returns the name that the log uses.
 func (c Call) String() string {
 	return [...]string{Accept: "accept", Read: "read", Write: "write", Register: "epoll_ctl", Wake: "wake",
 		Connect: "connect", HandOver: "hand-over", Option: "option", Listen: "listen", OpenFile: "open", WriteFile: "write file"}[c]
 }
 
-// Meaning is what a failure means.
+// Meaning says how a caller has to handle a failure.
 type Meaning int
 
-// Meanings.
+// Meanings. Their String values are used in the log.
 const (
-	None        Meaning = iota // no failure
-	Interrupted                // the call is made again at once
-	NotReady                   // the call is made again once the descriptor is ready
-	Exhausted                  // a resource is short for a moment: the call is made again after a back-off
-	Unrouted                   // connect only: there is no route for a moment; the call is made again after a back-off
-	Discarded                  // accept only: the connection at the head of the queue is gone, the next may be good
-	Ended                      // the other end has ended or reset the connection
-	Broken                     // the path has failed: the other end has said nothing and may still be there
-	Permanent                  // the same call will fail again
+	None        Meaning = iota // the call has succeeded
+	Interrupted                // by a signal: the call is repeated at once
+	NotReady                   // the call is repeated once the descriptor is ready
+	Exhausted                  // lack of a resource that may become free: the call is repeated after a back-off
+	Unrouted                   // connect only: there is no route at the moment; the call is repeated after a back-off
+	Discarded                  // accept only: the connection at the head of the queue is gone, the next one may be usable
+	Ended                      // the peer has closed or reset the connection
+	Broken                     // the network path has failed: the peer has not closed the connection and may still be running
+	Permanent                  // a repeated call will fail as well
 )
 
+// String returns the name that the log uses.
 func (m Meaning) String() string {
 	return [...]string{None: "none", Interrupted: "interrupted", NotReady: "not ready", Exhausted: "exhausted",
 		Unrouted: "unrouted", Discarded: "discarded", Ended: "ended", Broken: "broken", Permanent: "permanent"}[m]
 }
 
-// Passes reports whether the same call may succeed a moment later.
-func (m Meaning) Passes() bool {
+// IsTemporary reports whether the same call may succeed a moment later.
+func (m Meaning) IsTemporary() bool {
 	return m == Interrupted || m == NotReady || m == Exhausted || m == Unrouted || m == Discarded
 }
 
-// common are the meanings that an errno has for every call without an entry of its own.
-var common = map[syscall.Errno]Meaning{
+// commonMeanings are the meanings of an errno for each call that has no entry of its own in meaningsByCall.
+var commonMeanings = map[syscall.Errno]Meaning{
 	syscall.EINTR:  Interrupted,
 	syscall.EAGAIN: NotReady,
 	syscall.ENFILE: Exhausted, syscall.EMFILE: Exhausted, syscall.ENOBUFS: Exhausted, syscall.ENOMEM: Exhausted,
 	syscall.ENOSPC: Exhausted,
 }
 
-// network are the errnos of a path that has failed.
-var network = [...]syscall.Errno{
+// pathErrnos are the errnos of a network path that has failed.
+var pathErrnos = [...]syscall.Errno{
 	syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EHOSTDOWN, syscall.ENETDOWN, syscall.ENETRESET,
 	syscall.ENONET, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ECONNABORTED,
 }
 
-// byCall are the meanings by call, where they differ from the common ones.
-var byCall [callCount]map[syscall.Errno]Meaning
+// meaningsByCall are the meanings by call where they differ from commonMeanings.
+var meaningsByCall [callCount]map[syscall.Errno]Meaning
 
-// otherwise is what an errno without an entry means to a call.
-var otherwise = [callCount]Meaning{
-	Accept:   Exhausted, // the listener is not given up: an unknown failure may pass, and is tried with a back-off
+// defaultMeanings are the meanings by call of an errno without an entry in either table.
+var defaultMeanings = [callCount]Meaning{
+	Accept:   Exhausted, // the listener must stay in use: an unknown failure may be temporary, so accept is repeated with a back-off
 	Read:     Broken,
 	Write:    Broken,
 	Register: Permanent,
-	Wake:     Exhausted, // a loop that is not woken stands still
+	Wake:     Exhausted, // a loop that is not woken makes no progress, so the write is repeated
 	Connect:  Permanent,
 	HandOver: Permanent,
 	Option:   Permanent,
@@ -92,29 +95,32 @@
 }
 
 func init() {
-	byCall[Accept] = map[syscall.Errno]Meaning{syscall.EPERM: Discarded, syscall.ECONNRESET: Discarded} // a firewall's rule; reset in the queue
-	byCall[Read] = map[syscall.Errno]Meaning{syscall.ECONNRESET: Ended, syscall.EPIPE: Ended}
-	byCall[Write] = map[syscall.Errno]Meaning{syscall.ECONNRESET: Ended, syscall.EPIPE: Ended}
-	byCall[Connect] = map[syscall.Errno]Meaning{
+	meaningsByCall[Accept] = map[syscall.Errno]Meaning{
+		syscall.EPERM:      Discarded, // forbidden by a firewall rule
+		syscall.ECONNRESET: Discarded, // reset by the client while it was queued
+	}
+	meaningsByCall[Read] = map[syscall.Errno]Meaning{syscall.ECONNRESET: Ended, syscall.EPIPE: Ended}
+	meaningsByCall[Write] = map[syscall.Errno]Meaning{syscall.ECONNRESET: Ended, syscall.EPIPE: Ended}
+	meaningsByCall[Connect] = map[syscall.Errno]Meaning{
 		syscall.EADDRNOTAVAIL: Exhausted, // no local port is free
-		syscall.EAGAIN:        Exhausted, // the same, or no space in the routing cache
+		syscall.EAGAIN:        Exhausted, // no free local port, or no space in the routing cache
 		syscall.EADDRINUSE:    Exhausted,
-		syscall.ENETUNREACH:   Unrouted, // a route that is being replaced
+		syscall.ENETUNREACH:   Unrouted, // the route may be in the middle of a replacement
 		syscall.ENETDOWN:      Unrouted,
 	}
-	byCall[Listen] = map[syscall.Errno]Meaning{syscall.EADDRNOTAVAIL: Exhausted, syscall.EAGAIN: Exhausted}
-	byCall[OpenFile] = map[syscall.Errno]Meaning{syscall.EIO: Exhausted, syscall.EAGAIN: Exhausted, syscall.ESTALE: Exhausted,
+	meaningsByCall[Listen] = map[syscall.Errno]Meaning{syscall.EADDRNOTAVAIL: Exhausted, syscall.EAGAIN: Exhausted}
+	meaningsByCall[OpenFile] = map[syscall.Errno]Meaning{syscall.EIO: Exhausted, syscall.EAGAIN: Exhausted, syscall.ESTALE: Exhausted,
 		syscall.ETIMEDOUT: Exhausted}
-	byCall[WriteFile] = map[syscall.Errno]Meaning{syscall.EIO: Exhausted, syscall.EDQUOT: Exhausted, syscall.EAGAIN: Exhausted,
+	meaningsByCall[WriteFile] = map[syscall.Errno]Meaning{syscall.EIO: Exhausted, syscall.EDQUOT: Exhausted, syscall.EAGAIN: Exhausted,
 		syscall.ETIMEDOUT: Exhausted}
-	for _, errno := range network {
-		byCall[Accept][errno] = Discarded // errors of the new connection, which accept4 passes on
-		byCall[Read][errno] = Broken
-		byCall[Write][errno] = Broken
+	for _, errno := range pathErrnos {
+		meaningsByCall[Accept][errno] = Discarded // pending network errors of the new connection, which accept4 returns
+		meaningsByCall[Read][errno] = Broken
+		meaningsByCall[Write][errno] = Broken
 	}
 }
 
-// Classify returns what the error of a call means. An error that has no errno, such as a time-out of this process's own, is
+// Classify returns the Meaning of a call's error. An error without an errno, such as a timeout set by this process, is
 // Permanent.
 func Classify(call Call, err error) Meaning {
 	if err == nil {
@@ -124,11 +130,11 @@
 	if !errors.As(err, &errno) {
 		return Permanent
 	}
-	if meaning, known := byCall[call][errno]; known {
+	if meaning, known := meaningsByCall[call][errno]; known {
 		return meaning
 	}
-	if meaning, known := common[errno]; known {
+	if meaning, known := commonMeanings[errno]; known {
 		return meaning
 	}
-	return otherwise[call]
+	return defaultMeanings[call]
 }
--- a/internal/failure/failure_test.go
+++ b/internal/failure/failure_test.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 )
 
-// TestMeanings walks through what the manual pages document for each call.
+// TestMeanings checks the classification of the errnos that the manual pages document for each call, also of wrapped ones.
 func TestMeanings(t *testing.T) {
 	for call, byMeaning := range map[Call]map[Meaning][]syscall.Errno{
 		Accept: {
@@ -66,16 +66,17 @@
 	}
 	for call := range callCount {
 		if Classify(call, nil) != None || Classify(call, io.ErrUnexpectedEOF) != Permanent {
-			t.Errorf("%v: no error, or one without an errno", call)
+			t.Errorf("%v: no error, or an error without an errno, is misclassified", call)
 		}
 	}
 }
 
-// TestRetry: a call is made again while its failure passes, and not after one that does not, nor after the limit.
+// TestRetry checks that a call is repeated while its failures are temporary, and not after a permanent failure or at the end of
+// the context; and the range of the back-off.
 func TestRetry(t *testing.T) {
 	log := NewLog(zerolog.Nop())
 	calls := 0
-	fails := func(errnos ...error) func() error {
+	failWith := func(errnos ...error) func() error {
 		calls = 0
 		return func() error {
 			calls++
@@ -85,29 +86,29 @@
 			return nil
 		}
 	}
-	if err := RetryFor(5*time.Second, Connect, log, fails(syscall.ENFILE, syscall.EINTR, syscall.ENFILE)); err != nil || calls != 4 {
-		t.Errorf("%v after %d calls", err, calls)
+	if err := RetryFor(5*time.Second, Connect, log, failWith(syscall.ENFILE, syscall.EINTR, syscall.ENFILE)); err != nil || calls != 4 {
+		t.Errorf("error %v after %d calls", err, calls)
 	}
 	if n := log.Count(Connect, syscall.ENFILE); n != 2 {
-		t.Errorf("%d failures noted", n)
+		t.Errorf("%d failures recorded, want 2", n)
 	}
-	if err := RetryFor(5*time.Second, Connect, log, fails(syscall.ENFILE, syscall.ECONNREFUSED)); !errors.Is(err, syscall.ECONNREFUSED) || calls != 2 {
-		t.Errorf("%v after %d calls", err, calls)
+	if err := RetryFor(5*time.Second, Connect, log, failWith(syscall.ENFILE, syscall.ECONNREFUSED)); !errors.Is(err, syscall.ECONNREFUSED) || calls != 2 {
+		t.Errorf("error %v after %d calls", err, calls)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := Retry(ctx, Connect, nil, func() error { return syscall.ENOBUFS }); !errors.Is(err, syscall.ENOBUFS) {
-		t.Errorf("%v", err)
+		t.Errorf("Retry with a cancelled context returned %v", err)
 	}
-	var pause BackOff
+	var backOff BackOff
 	for range 20 {
-		if p := pause.Next(); p < minBackOff || p > maxBackOff {
-			t.Errorf("a pause of %v", p)
+		if delay := backOff.Next(); delay < minBackOff || delay > maxBackOff {
+			t.Errorf("back-off of %v, want %v to %v", delay, minBackOff, maxBackOff)
 		}
 	}
 }
 
-// failingListener fails some times before it accepts.
+// failingListener returns each of its failures once, then net.ErrClosed.
 type failingListener struct {
 	net.Listener
 	failures []error
@@ -122,10 +123,10 @@
 	return nil, err
 }
 
-// TestListener: failures that pass are not returned; the end of the listener is, at once.
+// TestListener checks that temporary failures are not returned, and that the error of a closed listener is.
 func TestListener(t *testing.T) {
 	inner := &failingListener{failures: []error{syscall.ENOBUFS, syscall.ECONNABORTED, syscall.EPROTO, syscall.ENFILE}}
 	if _, err := (Listener{Listener: inner}).Accept(); !errors.Is(err, net.ErrClosed) || len(inner.failures) > 0 {
-		t.Errorf("%v, %d failures left", err, len(inner.failures))
+		t.Errorf("Accept returned %v with %d failures left", err, len(inner.failures))
 	}
 }
--- a/internal/failure/log.go
+++ b/internal/failure/log.go
@@ -9,59 +9,63 @@
 	"github.com/rs/zerolog"
 )
 
-// logSpan is how often one kind of failure is logged at most.
-const logSpan = time.Second
+// minLogInterval is the shortest time between two log lines of the same kind of failure.
+const minLogInterval = time.Second
 
-// Log counts failures by call and errno, and logs each kind once in a span with its count. Its methods may be called from
-// any goroutine; nil is a Log that does nothing.
+// Log counts failures by call and errno. It logs each kind at most once in minLogInterval, with the count so far. Its methods
+// may be called from any goroutine. Record may be called on a nil Log and does nothing.
 type Log struct {
-	log zerolog.Logger
+	logger zerolog.Logger
 
-	mu    sync.Mutex
-	kinds map[kind]*tally
+	mu          sync.Mutex
+	statsByKind map[failureKind]*failureStats
 }
 
-type kind struct {
+// failureKind identifies failures that are counted and logged together.
+type failureKind struct {
 	call  Call
-	errno syscall.Errno // 0 for an error without one
+	errno syscall.Errno // 0 for an error without an errno
 }
 
-type tally struct {
-	count  uint64
-	logged time.Time
+// failureStats holds the count of one kind of failure.
+type failureStats struct {
+	count    uint64    // since the start of the process
+	loggedAt time.Time // time of the last log line, zero for none
 }
 
-// NewLog makes a log that writes to another.
-func NewLog(log zerolog.Logger) *Log { return &Log{log: log, kinds: map[kind]*tally{}} }
+// NewLog creates a Log that writes to a logger.
+func NewLog(logger zerolog.Logger) *Log {
+	return &Log{logger: logger, statsByKind: map[failureKind]*failureStats{}}
+}
 
-// Note counts a failure of a call.
-func (l *Log) Note(call Call, err error, meaning Meaning) {
+// Record counts a failure of a call, and logs it unless the same kind was logged less than minLogInterval ago.
+func (l *Log) Record(call Call, err error, meaning Meaning) {
 	if l == nil {
 		return
 	}
-	k := kind{call: call}
-	errors.As(err, &k.errno)
+	key := failureKind{call: call}
+	errors.As(err, &key.errno)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.kinds[k]
-	if t == nil {
-		t = &tally{}
-		l.kinds[k] = t
+	stats := l.statsByKind[key]
+	if stats == nil {
+		stats = &failureStats{}
+		l.statsByKind[key] = stats
 	}
-	t.count++
-	if now := time.Now(); t.logged.IsZero() || now.Sub(t.logged) >= logSpan {
-		t.logged = now
-		l.log.Warn().Stringer("call", call).AnErr("cause", err).Stringer("meaning", meaning).Uint64("count", t.count).
+	stats.count++
+	if now := time.Now(); stats.loggedAt.IsZero() || now.Sub(stats.loggedAt) >= minLogInterval {
+		stats.loggedAt = now
+		l.logger.Warn().Stringer("call", call).AnErr("cause", err).Stringer("meaning", meaning).Uint64("count", stats.count).
 			Msg("a system call failed")
 	}
 }
 
-// Count returns how many failures of a call with an errno were noted.
+// Count returns how many failures of a call with an errno were recorded, with errno 0 for those without one.
 func (l *Log) Count(call Call, errno syscall.Errno) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t := l.kinds[kind{call, errno}]; t != nil {
-		return t.count
+	if stats := l.statsByKind[failureKind{call, errno}]; stats != nil {
+		return stats.count
 	}
 	return 0
 }
--- a/internal/proxy/leave.go
+++ b/internal/proxy/leave.go
@@ -102,7 +102,7 @@
 			p.closingDeadline = p.now() + arrivalsAfterTerm/2
 			p.connectionArrived = true // the accept queue counts as empty after two checks without a new connection
 		}
-	case p.loop.HasWaiting(): // accept may have failed temporarily
+	case p.loop.HasQueuedConnections(): // accept may have failed temporarily
 		p.connectionArrived = true
 	case p.connectionArrived:
 		p.connectionArrived = false
@@ -125,9 +125,9 @@
 		&unix.SockFprog{Len: 1, Filter: &dropAll})
 	meaning := failure.Classify(failure.Option, err)
 	if meaning != failure.None {
-		p.failures.Note(failure.Option, err, meaning)
+		p.failures.Record(failure.Option, err, meaning)
 	}
-	return !meaning.Passes()
+	return !meaning.IsTemporary()
 }
 
 // endBeforeKill ends the process before it is killed, whatever is still pending: waiting clients are answered and sessions
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -190,7 +190,7 @@
 	err := unix.Shutdown(c.conn.FD(), unix.SHUT_WR)
 	switch meaning := failure.Classify(failure.Option, err); {
 	case meaning == failure.None:
-	case meaning.Passes():
+	case meaning.IsTemporary():
 		c.timers.After(c.linger/shutdownSteps/shutdownSteps, c.shutdownWrite)
 	default:
 		c.Reset()
@@ -236,7 +236,7 @@
 	none := unix.Linger{Onoff: 1}
 	for range maxPeeks {
 		err := unix.SetsockoptLinger(c.conn.FD(), unix.SOL_SOCKET, unix.SO_LINGER, &none)
-		if !failure.Classify(failure.Option, err).Passes() {
+		if !failure.Classify(failure.Option, err).IsTemporary() {
 			break
 		}
 	}
