--- a/cmd/stallwatch/main_test.go
+++ b/cmd/stallwatch/main_test.go
@@ -13,12 +13,13 @@
 	"chalkferry/internal/stall"
 )
 
-// roleVariable says what a process of this test's own program does.
+// roleVariable is the environment variable that selects what a process of this test's own program does: one of the roles of
+// TestMain, or a list of roles for which it starts a child each.
 const roleVariable = "STALLWATCH_TEST_ROLE"
 
 const (
 	idleFor     = 3 * time.Second
-	spinFor     = time.Minute // much longer than the test lets it
+	spinFor     = time.Minute // much longer than the time until stallwatch ends the process
 	workingSpin = 1500 * time.Millisecond
 )
 
@@ -28,10 +29,10 @@
 		os.Exit(m.Run())
 	case "idle":
 		time.Sleep(idleFor)
-	case "read": // of a pipe that nobody writes to
-		ends := make([]int, 2)
-		unix.Pipe(ends)
-		go unix.Read(ends[0], make([]byte, 1))
+	case "read": // blocks in the read of a pipe that nobody writes to
+		pipe := make([]int, 2)
+		unix.Pipe(pipe)
+		go unix.Read(pipe[0], make([]byte, 1))
 		time.Sleep(idleFor)
 	case "spin":
 		spin(spinFor)
@@ -42,12 +43,13 @@
 	}
 }
 
-func spin(length time.Duration) {
-	for began := time.Now(); time.Since(began) < length; {
+// spin uses the processor for a time.
+func spin(duration time.Duration) {
+	for start := time.Now(); time.Since(start) < duration; {
 	}
 }
 
-// runChildren starts a child for each role and returns the last exit code that was not 0.
+// runChildren starts a child process for each role, waits for them, and returns the last exit code that was not 0.
 func runChildren(roles []string) (exitCode int) {
 	var children []*exec.Cmd
 	for _, role := range roles {
@@ -67,7 +69,8 @@
 	return exitCode
 }
 
-// TestWatch guards against a watch that signals a healthy process: only one that spins while the others wait is asked for its goroutines.
+// TestWatch guards against a watch that signals a healthy process: only a process that spins while the others wait gets
+// SIGQUIT.
 func TestWatch(t *testing.T) {
 	const exitedBySIGQUIT = 2
 	for name, test := range map[string]struct {
@@ -88,18 +91,19 @@
 				MinProcesses: 3, Command: []string{os.Args[0]}}
 			exitCode, err := o.run(&report)
 			if err != nil || exitCode != test.exitCode {
-				t.Errorf("exit code %d, %v", exitCode, err)
+				t.Errorf("exit code %d, want %d, error %v", exitCode, test.exitCode, err)
 			}
 			isReported := strings.Contains(report.String(), "STALL")
 			isSignaled := strings.Contains(report.String(), "SIGQUIT to thread")
 			if isReported != test.isReported || isSignaled != test.isSignaled {
-				t.Errorf("reported: %q", report.String())
+				t.Errorf("stall reported: %v, want %v; signalled: %v, want %v; report %q", isReported, test.isReported, isSignaled, test.isSignaled, report.String())
 			}
 		})
 	}
 }
 
-// TestReportStarved: a thread of the run that got no processor is printed, and what is ready beside it; others' are not reported.
+// TestReportStarved checks that a thread of the run that got no processor is printed, with the threads that are ready beside
+// it, and that threads of other processes are not reported.
 func TestReportStarved(t *testing.T) {
 	const noProcess = 1 << 30
 	own := stall.Schedule{ThreadKey: stall.ThreadKey{Process: os.Getpid(), Thread: os.Getpid()}, Command: "starves", Processor: 1}
@@ -116,11 +120,11 @@
 		w := &watch{options: &options{Span: time.Second}, root: test.root, report: &report}
 		isStarved, err := w.reportStarved(before, now)
 		if err != nil || isStarved != test.isStarved {
-			t.Errorf("%v, %v", isStarved, err)
+			t.Errorf("starved: %v, want %v, error %v", isStarved, test.isStarved, err)
 		}
 		for _, part := range []string{"STARVED: 1 threads", "(starves) on processor 1", "(runs) on processor 1"} {
 			if strings.Contains(report.String(), part) != test.isStarved {
-				t.Errorf("%q: %s", part, report.String())
+				t.Errorf("report has %q: %v, want %v; report %s", part, !test.isStarved, test.isStarved, report.String())
 			}
 		}
 	}
--- a/cmd/stallwatch/starved.go
+++ b/cmd/stallwatch/starved.go
@@ -8,17 +8,17 @@
 	"chalkferry/internal/stall"
 )
 
-// maxPrinted is how many threads of a kind a report prints.
+// maxPrinted is how many threads one list of a report contains at most.
 const maxPrinted = 20
 
-// reportStarved prints the run's threads that were ready for the whole span and got no processor, and what else is ready on
-// theirs.
-func (w *watch) reportStarved(before, now stall.Runnable) (isStarved bool, err error) {
-	ofRun, err := stall.Descendants(w.root)
+// reportStarved prints the threads of the run that were ready for the whole span and got no processor, and the other threads
+// that are ready on the same processors.
+func (w *watch) reportStarved(before, current stall.Runnable) (isStarved bool, err error) {
+	descendants, err := stall.Descendants(w.root)
 	if err != nil {
 		return false, err
 	}
-	starved := slices.DeleteFunc(stall.Starved(before, now), func(s stall.Schedule) bool { return !ofRun[s.Process] })
+	starved := slices.DeleteFunc(stall.Starved(before, current), func(s stall.Schedule) bool { return !descendants[s.Process] })
 	if len(starved) == 0 {
 		return false, nil
 	}
@@ -29,10 +29,10 @@
 	}
 	w.printSchedules(starved)
 	for _, processor := range slices.Sorted(maps.Keys(processors)) {
-		there := now.OnProcessor(processor)
-		there = slices.DeleteFunc(there, func(s stall.Schedule) bool { return slices.Contains(starved, s) })
-		fmt.Fprintf(w.report, "%d others are ready on processor %d\n", len(there), processor)
-		w.printSchedules(there)
+		ready := current.OnProcessor(processor)
+		ready = slices.DeleteFunc(ready, func(s stall.Schedule) bool { return slices.Contains(starved, s) })
+		fmt.Fprintf(w.report, "%d others are ready on processor %d\n", len(ready), processor)
+		w.printSchedules(ready)
 	}
 	return true, nil
 }
@@ -46,7 +46,7 @@
 		}
 		allowed, err := stall.AllowedProcessors(schedule.ThreadKey)
 		if err != nil {
-			continue // it has ended
+			continue // the thread has ended
 		}
 		fmt.Fprintf(w.report, "\t%v, may use %v\n", schedule, allowed)
 	}
--- a/internal/stall/benchprobe_test.go
+++ b/internal/stall/benchprobe_test.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// TestBenchprobe: each case of the probe that a bench runs in place of the proxy builds, and prints its rounds without a bench.
+// TestBenchprobe checks that the probe, which a benchmark runs in place of the proxy, builds, and that each of its cases prints
+// its rounds when run without a benchmark.
 func TestBenchprobe(t *testing.T) {
-	const patience = 20 * time.Second
+	const timeout = 20 * time.Second
 	program := filepath.Join(t.TempDir(), "benchprobe")
 	if out, err := exec.Command("go", "build", "-o", program, "./testdata/benchprobe").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	for name, prints := range map[string]string{
+	for name, wantOutput := range map[string]string{
 		"yield": "round 2", "clock": "round 2", "poll": "round 2", "collections": "longest round", "threads": "longest round",
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -35,13 +36,13 @@
 			}
 			defer command.Wait()
 			defer command.Process.Kill()
-			for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
-				if text, _ := os.ReadFile(output); strings.Contains(string(text), prints) {
+			for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+				if text, _ := os.ReadFile(output); strings.Contains(string(text), wantOutput) {
 					return
 				}
 			}
 			text, _ := os.ReadFile(output)
-			t.Errorf("%q is not printed within %v: %s", prints, patience, text)
+			t.Errorf("%q was not printed within %v; output: %s", wantOutput, timeout, text)
 		})
 	}
 }
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestFind: a span in which only one process works is a stall; one in which others work too, or with few processes, is none.
+// TestFind checks that an interval in which only one process works is a stall, and one in which others work too, or with too
+// few processes, is not.
 func TestFind(t *testing.T) {
 	const second = time.Second
 	before := Usage{1: second, 2: second, 3: second, 4: second}
@@ -24,39 +25,40 @@
 	} {
 		found, isStalled := Find(before, test.after, 60*time.Millisecond, 4)
 		if isStalled != test.isStalled || test.busiest != 0 && found.Busiest != test.busiest {
-			t.Errorf("%s: %+v, %v", name, found, isStalled)
+			t.Errorf("%s: found %+v, stalled %v", name, found, isStalled)
 		}
 	}
 }
 
-// TestSpins: only a process that has used the processor holds up the others for certain.
+// TestSpins checks that a process counts as spinning only if it used the processor time given.
 func TestSpins(t *testing.T) {
 	if !(Stall{BusiestUsed: 2 * time.Second}).Spins(time.Second) || (Stall{BusiestUsed: time.Millisecond}).Spins(time.Second) {
-		t.Error("a process that spins is not told from one that waits")
+		t.Error("a process that spins is not distinguished from one that waits")
 	}
 }
 
-// TestPattern: processes that do the same are alike however many threads do it, and one that waits elsewhere differs.
+// TestPattern checks that processes have the same pattern whatever the number of threads in the same state, and another one if
+// a thread waits elsewhere.
 func TestPattern(t *testing.T) {
 	futex := Thread{State: "S", WaitChannel: "futex_do_wait", SystemCall: "202 0x1 0x80"}
 	other := Thread{State: "S", WaitChannel: "futex_do_wait", SystemCall: "202 0x2 0x0"}
 	disk := Thread{State: "D", WaitChannel: "io_schedule", SystemCall: "0 0x3"}
 	if Pattern([]Thread{futex}) != Pattern([]Thread{other, futex, other}) {
-		t.Error("the number of threads tells processes apart")
+		t.Error("the pattern depends on the number of threads in the same state")
 	}
 	if Pattern([]Thread{futex}) == Pattern([]Thread{futex, disk}) {
-		t.Error("a thread that waits for a disk is not seen")
+		t.Error("the pattern omits a thread that waits for a disk")
 	}
 }
 
-// TestReadThreads: this process's own threads are read, the one that reads among them.
+// TestReadThreads checks that the threads and the usage of the test process are read.
 func TestReadThreads(t *testing.T) {
 	threads, err := ReadThreads(os.Getpid())
 	if err != nil || len(threads) == 0 {
-		t.Fatalf("%v, %v", threads, err)
+		t.Fatalf("threads %v, error %v", threads, err)
 	}
 	if Pattern(threads) == "" || threads[0].State == "" {
-		t.Errorf("%+v", threads)
+		t.Errorf("a thread has no state: %+v", threads)
 	}
 	if _, err := ReadUsage(os.Getpid(), "no such name"); err != nil {
 		t.Error(err)
--- a/internal/stall/starved_test.go
+++ b/internal/stall/starved_test.go
@@ -9,21 +9,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestStarved: a thread that is ready for a whole span without a time slice is starved; one that ran, slept or is new is not.
+// TestStarved checks that a thread that is ready for a whole interval without a time slice is starved, and that one that ran,
+// slept or is new is not.
 func TestStarved(t *testing.T) {
 	starving := Schedule{ThreadKey: ThreadKey{1, 1}, Ran: time.Millisecond, Slices: 2}
-	ran, spun, isNew := starving, starving, starving
-	ran.Thread, spun.Thread, isNew.Thread = 2, 3, 4
-	before := Runnable{starving.ThreadKey: starving, ran.ThreadKey: ran, spun.ThreadKey: spun, {1, 5}: {ThreadKey: ThreadKey{1, 5}}}
-	ran.Slices++ // it had a slice, or slept
-	spun.Ran += time.Second
-	after := Runnable{starving.ThreadKey: starving, ran.ThreadKey: ran, spun.ThreadKey: spun, isNew.ThreadKey: isNew}
+	ran, stillRunning, newThread := starving, starving, starving
+	ran.Thread, stillRunning.Thread, newThread.Thread = 2, 3, 4
+	before := Runnable{starving.ThreadKey: starving, ran.ThreadKey: ran, stillRunning.ThreadKey: stillRunning, {1, 5}: {ThreadKey: ThreadKey{1, 5}}}
+	ran.Slices++ // it had a time slice, or slept and ran again
+	stillRunning.Ran += time.Second
+	after := Runnable{starving.ThreadKey: starving, ran.ThreadKey: ran, stillRunning.ThreadKey: stillRunning, newThread.ThreadKey: newThread}
 	if starved := Starved(before, after); len(starved) != 1 || starved[0] != starving {
-		t.Errorf("%v", starved)
+		t.Errorf("starved threads are %v, want only %v", starved, starving)
 	}
 }
 
-// TestReadRunnable: a thread that runs is read with its processor, policy and time, and the processors that it may use.
+// TestReadRunnable checks that the running thread of the test is read with its processor, policy and time, and the processors
+// that it may use.
 func TestReadRunnable(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -32,21 +34,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	schedule, isThere := runnable[key]
-	if !isThere || schedule.Command == "" || schedule.Ran == 0 || schedule.Slices == 0 {
-		t.Errorf("%v, %v", schedule, isThere)
+	schedule, isRunnable := runnable[key]
+	if !isRunnable || schedule.Command == "" || schedule.Ran == 0 || schedule.Slices == 0 {
+		t.Errorf("schedule %v, runnable %v", schedule, isRunnable)
 	}
 	allowed, err := AllowedProcessors(key)
 	var own unix.CPUSet
 	unix.SchedGetaffinity(0, &own)
 	if err != nil || len(allowed) != own.Count() {
-		t.Errorf("%v, %v", allowed, err)
+		t.Errorf("allowed processors %v, want %d of them, error %v", allowed, own.Count(), err)
 	}
-	var isThereToo bool
-	for _, each := range runnable.OnProcessor(schedule.Processor) {
-		isThereToo = isThereToo || each == schedule
+	var isOnProcessor bool
+	for _, queued := range runnable.OnProcessor(schedule.Processor) {
+		isOnProcessor = isOnProcessor || queued == schedule
 	}
-	if !isThereToo {
-		t.Errorf("%v is not on its processor", schedule)
+	if !isOnProcessor {
+		t.Errorf("%v is missing from OnProcessor", schedule)
 	}
 }
--- a/internal/stall/testdata/benchprobe/main.go
+++ b/internal/stall/testdata/benchprobe/main.go
@@ -1,7 +1,10 @@
-// Benchprobe is run by a bench in place of the proxy, and measures what a thread gets that waits for another one without
-// waiting in the kernel, where one thread of a process runs at a time. It is not part of any build: copy it to cmd/benchprobe of
-// a scratch copy, and name it in the copy's deploy file (run = "exec bin/benchprobe"). The environment variable PROBE names the
-// case; each prints a line a round, and a bench that finds it hung ends it. What was measured: docs/incidents/spinning-loop.md.
+// Benchprobe measures how a thread fares that waits for another one by polling, without blocking in the kernel, in an
+// environment where one thread of a process runs at a time. A benchmark runs it in place of the proxy. The environment variable
+// PROBE selects the case. Each case prints a line per round, and a benchmark that takes it for a hung process ends it. Results:
+// docs/incidents/spinning-loop.md.
+//
+// It is not part of any build: copy it to cmd/benchprobe of a scratch copy of the repository, and name it in the copy's deploy
+// file (run = "exec bin/benchprobe").
 package main
 
 import (
@@ -15,10 +18,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// napTime is how long the other thread sleeps.
-const napTime = 5 * time.Millisecond
+// sleepTime is how long the other thread sleeps.
+const sleepTime = 5 * time.Millisecond
 
-// processors is what a proxy of less than a core sets.
+// processors is the GOMAXPROCS that a proxy with less than one core sets.
 const processors = 2
 
 func main() {
@@ -40,10 +43,10 @@
 		os.Exit(2)
 	}
 	run()
-	time.Sleep(time.Hour) // until the bench ends it
+	time.Sleep(time.Hour) // until the benchmark ends the process
 }
 
-// readyPoller is an epoll descriptor that always has an event.
+// readyPoller returns an epoll descriptor that always has an event ready.
 func readyPoller() int {
 	poller, _ := unix.EpollCreate1(0)
 	ready, _ := unix.Eventfd(1, unix.EFD_NONBLOCK)
@@ -51,8 +54,9 @@
 	return poller
 }
 
-// spin calls turn until a goroutine with a thread of its own has slept.
-func spin(turn func()) {
+// spin calls poll in a loop until a goroutine on a thread of its own has slept for sleepTime, and prints how long that took. It
+// does so for three rounds.
+func spin(poll func()) {
 	runtime.LockOSThread()
 	for round := range 3 {
 		var isDone atomic.Bool
@@ -60,33 +64,35 @@
 		go func() {
 			runtime.LockOSThread()
 			close(isStarted)
-			time.Sleep(napTime)
+			time.Sleep(sleepTime)
 			isDone.Store(true)
 		}()
 		<-isStarted
-		began, turns := time.Now(), 0
+		start, turns := time.Now(), 0
 		for !isDone.Load() {
-			turn()
+			poll()
 			turns++
 		}
-		fmt.Println("round", round, "took", time.Since(began), "turns", turns)
+		fmt.Println("round", round, "took", time.Since(start), "turns", turns)
 	}
 }
 
-// report prints, a hundred rounds at a time, how many there were of what is counted and how long the longest round took.
+// report calls round without end. For each 100 rounds it prints the sum of the counts that round returned and the duration of
+// the longest round, both since the start.
 func report(name string, round func() (count int)) {
-	began, longest, total := time.Now(), time.Duration(0), 0
+	start, longest, total := time.Now(), time.Duration(0), 0
 	for n := 1; ; n++ {
-		at := time.Now()
+		roundStart := time.Now()
 		total += round()
-		longest = max(longest, time.Since(at))
+		longest = max(longest, time.Since(roundStart))
 		if n%100 == 0 {
-			fmt.Println(name, total, "longest round", longest, "at", time.Since(began))
+			fmt.Println(name, total, "longest round", longest, "at", time.Since(start))
 		}
 	}
 }
 
-// allocate has goroutines that wait in the kernel at times leave garbage, so that the runtime collects again and again.
+// allocate starts goroutines that produce garbage and block in the kernel from time to time, so that the garbage collector runs
+// again and again.
 func allocate() {
 	debug.SetGCPercent(5)
 	for range 4 {
@@ -104,9 +110,10 @@
 	}
 }
 
+// collected is how many garbage collections there were at the last call of collections.
 var collected uint32
 
-// collections sleeps a millisecond and returns how many collections there were meanwhile.
+// collections sleeps for a millisecond and returns how many garbage collections there were since its last call.
 func collections() int {
 	time.Sleep(time.Millisecond)
 	var stats runtime.MemStats
@@ -116,20 +123,21 @@
 	return int(n)
 }
 
-// startThreads has goroutines need a thread each, which ends with them.
+// startThreads starts goroutines that each need a thread, which ends with the goroutine, waits for them, and returns their
+// number.
 func startThreads() int {
-	const atOnce = 4
+	const threadCount = 4
 	done := make(chan struct{})
-	for range atOnce {
+	for range threadCount {
 		go func() {
 			runtime.LockOSThread()
-			nap := unix.NsecToTimespec(int64(napTime / 16))
-			unix.Nanosleep(&nap, nil)
+			duration := unix.NsecToTimespec(int64(sleepTime / 16))
+			unix.Nanosleep(&duration, nil)
 			done <- struct{}{}
 		}()
 	}
-	for range atOnce {
+	for range threadCount {
 		<-done
 	}
-	return atOnce
+	return threadCount
 }
