--- a/internal/affinity/affinity_test.go
+++ b/internal/affinity/affinity_test.go
@@ -15,13 +15,14 @@
 	"chalkferry/internal/affinity/affinitytest"
 )
 
-// reservePatience is how long a test waits for processors that another run or process has.
-const reservePatience = 30 * time.Second
+// reserveTimeout is how long a test waits for processors that another run or process holds.
+const reserveTimeout = 30 * time.Second
 
+// reserve reserves processors until the end of the test, and waits while others hold them.
 func reserve(t *testing.T, wanted int) *Reservation {
 	t.Helper()
 	r, err := Reserve(wanted)
-	for limit := time.Now().Add(reservePatience); err != nil && time.Now().Before(limit); r, err = Reserve(wanted) {
+	for deadline := time.Now().Add(reserveTimeout); err != nil && time.Now().Before(deadline); r, err = Reserve(wanted) {
 		time.Sleep(100 * time.Millisecond)
 	}
 	if err != nil {
@@ -31,8 +32,8 @@
 	return r
 }
 
-// processorsOf are those that a thread may use.
-func processorsOf(t *testing.T, thread int) unix.CPUSet {
+// allowedProcessors returns the processors that a thread may use, 0 for the calling thread.
+func allowedProcessors(t *testing.T, thread int) unix.CPUSet {
 	t.Helper()
 	var set unix.CPUSet
 	if err := unix.SchedGetaffinity(thread, &set); err != nil {
@@ -41,36 +42,38 @@
 	return set
 }
 
-// TestReservedOnce: two runs beside one another never have the same processor, and what is released is free again.
+// TestReservedOnce checks that two reservations at the same time never have the same processor, and that a released processor
+// is free again.
 func TestReservedOnce(t *testing.T) {
-	before := processorsOf(t, 0)
+	before := allowedProcessors(t, 0)
 	first := reserve(t, 1)
 	processor := first.Processors()[0]
 	second := reserve(t, 1)
 	if second.Processors()[0] == processor {
-		t.Errorf("both have processor %d", processor)
+		t.Errorf("both reservations have processor %d", processor)
 	}
-	if own := processorsOf(t, 0); own.IsSet(processor) || own.IsSet(second.Processors()[0]) {
+	if own := allowedProcessors(t, 0); own.IsSet(processor) || own.IsSet(second.Processors()[0]) {
 		t.Errorf("this process may use reserved processors: %v", own)
 	}
 	first.Release()
 	second.Release()
-	if own := processorsOf(t, 0); own != before {
-		t.Errorf("this process may use %v and not %v", own, before)
+	if own := allowedProcessors(t, 0); own != before {
+		t.Errorf("after the release this process may use %v, want %v", own, before)
 	}
 	lock, err := lockProcessor(processor)
-	for limit := time.Now().Add(reservePatience); err != nil && time.Now().Before(limit); lock, err = lockProcessor(processor) {
-		time.Sleep(100 * time.Millisecond) // another run may have it
+	for deadline := time.Now().Add(reserveTimeout); err != nil && time.Now().Before(deadline); lock, err = lockProcessor(processor) {
+		time.Sleep(100 * time.Millisecond) // another run may have reserved it
 	}
 	if err != nil {
-		t.Fatalf("processor %d is not free once it is released: %v", processor, err)
+		t.Fatalf("processor %d is not free after its release: %v", processor, err)
 	}
 	lock.Close()
 }
 
-// TestTooFew: all processors of the machine can't be reserved, as one has to be left, and none is held after that.
+// TestTooFew checks that not all processors of the machine can be reserved, as one has to be left, and that the failed attempt
+// holds none.
 func TestTooFew(t *testing.T) {
-	set := processorsOf(t, 0)
+	set := allowedProcessors(t, 0)
 	var unavailable *UnavailableError
 	if _, err := Reserve(set.Count()); !errors.As(err, &unavailable) {
 		t.Fatal(err)
@@ -78,59 +81,60 @@
 	reserve(t, 1)
 }
 
-// TestForeignProcess: a processor that a process of others is bound to is not taken, and one that is bound to it later is found;
-// descendants of this process are not others.
+// TestForeignProcess checks that a processor to which another process is bound is not reserved, that a process bound to it
+// later is found, and that descendants of this process do not count.
 func TestForeignProcess(t *testing.T) {
-	held := reserve(t, 1)
-	processor := held.Processors()[0]
+	reservation := reserve(t, 1)
+	processor := reservation.Processors()[0]
 	child := exec.Command("sleep", "60")
 	if err := StartOn(child, processor); err != nil {
 		t.Fatal(err)
 	}
 	defer child.Wait()
 	defer child.Process.Kill()
-	if intruder, err := held.Intruder(); err != nil || intruder != "" {
-		t.Errorf("%q, %v", intruder, err)
+	if foreignProcess, err := reservation.ForeignProcess(); err != nil || foreignProcess != "" {
+		t.Errorf("foreign process is %q, error %v", foreignProcess, err)
 	}
-	foreign := affinitytest.ForeignProcess(t, func(shell *exec.Cmd) error { return StartOn(shell, processor) })
-	intruder, err := held.Intruder()
-	if err != nil || !strings.Contains(intruder, strconv.Itoa(foreign)) {
-		t.Errorf("%q, %v", intruder, err)
+	foreignID := affinitytest.ForeignProcess(t, func(shell *exec.Cmd) error { return StartOn(shell, processor) })
+	foreignProcess, err := reservation.ForeignProcess()
+	if err != nil || !strings.Contains(foreignProcess, strconv.Itoa(foreignID)) {
+		t.Errorf("foreign process is %q, error %v", foreignProcess, err)
 	}
-	held.Release()
+	reservation.Release()
 	if other := reserve(t, 1); other.Processors()[0] == processor {
-		t.Errorf("processor %d is taken though process %d is bound to it", processor, foreign)
+		t.Errorf("processor %d was reserved though process %d is bound to it", processor, foreignID)
 	}
 }
 
-// TestUnbind: the processes of a group may use all processors again.
+// TestUnbind checks that the processes of a group may use all processors again.
 func TestUnbind(t *testing.T) {
-	held := reserve(t, 1)
-	before := held.allowed
+	reservation := reserve(t, 1)
+	before := reservation.allowed
 	command := exec.Command("sh", "-c", "sleep 60 & wait")
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	if err := StartOn(command, held.Processors()[0]); err != nil {
+	if err := StartOn(command, reservation.Processors()[0]); err != nil {
 		t.Fatal(err)
 	}
 	defer command.Wait()
 	defer unix.Kill(-command.Process.Pid, unix.SIGKILL)
-	for limit := time.Now().Add(5 * time.Second); len(groupMembers(t, command.Process.Pid)) < 2 && time.Now().Before(limit); {
+	for deadline := time.Now().Add(5 * time.Second); len(groupMembers(t, command.Process.Pid)) < 2 && time.Now().Before(deadline); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	if err := held.Unbind(command.Process.Pid); err != nil {
+	if err := reservation.Unbind(command.Process.Pid); err != nil {
 		t.Fatal(err)
 	}
 	members := groupMembers(t, command.Process.Pid)
 	if len(members) != 2 {
-		t.Fatalf("%d processes in the group", len(members))
+		t.Fatalf("%d processes in the group, want 2", len(members))
 	}
 	for _, id := range members {
-		if processorsOf(t, id) != before {
+		if allowedProcessors(t, id) != before {
 			t.Errorf("process %d is still bound", id)
 		}
 	}
 }
 
+// groupMembers returns the ids of the processes of a process group.
 func groupMembers(t *testing.T, group int) (members []int) {
 	t.Helper()
 	entries, err := os.ReadDir("/proc")
@@ -139,7 +143,7 @@
 	}
 	for _, entry := range entries {
 		if id, err := strconv.Atoi(entry.Name()); err == nil {
-			if its, err := unix.Getpgid(id); err == nil && its == group {
+			if processGroup, err := unix.Getpgid(id); err == nil && processGroup == group {
 				members = append(members, id)
 			}
 		}
--- a/internal/affinity/affinitytest/foreign.go
+++ b/internal/affinity/affinitytest/foreign.go
@@ -1,4 +1,4 @@
-// Package affinitytest has what tests of bound processes share. It is linked by tests only.
+// Package affinitytest has helpers for tests that deal with processes bound to processors. Only tests import it.
 package affinitytest
 
 import (
@@ -10,11 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// ForeignProcess starts a process that is not a descendant of the test's, as start binds it, and ends it with the test. It returns
-// the process's id.
+// ForeignProcess starts a process that is not a descendant of the test process and ends it with the test. The start function
+// starts the given command, bound as the test needs it. ForeignProcess returns the process id.
 func ForeignProcess(t testing.TB, start func(*exec.Cmd) error) (id int) {
 	t.Helper()
-	shell := exec.Command("sh", "-c", "sleep 60 >/dev/null 2>&1 & echo $!") // the sleep outlives its parent, the shell
+	shell := exec.Command("sh", "-c", "sleep 60 >/dev/null 2>&1 & echo $!") // the sleep outlives the shell, its parent
 	var output strings.Builder
 	shell.Stdout = &output
 	if err := start(shell); err != nil {
--- a/internal/affinity/bound.go
+++ b/internal/affinity/bound.go
@@ -12,22 +12,23 @@
 // flagKernelThread is PF_KTHREAD of the kernel's include/linux/sched.h, in the flags of proc_pid_stat(5).
 const flagKernelThread = 0x200000
 
-// stateZombie is the state of a process that has ended, see proc_pid_stat(5).
+// stateZombie is the state of a process that has ended and was not waited for, see proc_pid_stat(5).
 const stateZombie = "Z"
 
-// boundProcess is a process of others that may use only some of the processors that this one may use.
+// boundProcess is a process, not a descendant of this one, that may use only some of the processors that this process may use.
 type boundProcess struct {
 	id         int
-	command    string
-	processors unix.CPUSet
+	command    string      // command name, see proc_pid_comm(5)
+	processors unix.CPUSet // the processors that it may use
 }
 
+// String describes the process as the reason why a processor is not free.
 func (b *boundProcess) String() string {
 	return fmt.Sprintf("has process %d (%s) bound to it", b.id, b.command)
 }
 
-// boundProcesses reads the processes that are bound to some of the allowed processors, by their first threads, but for this
-// process, its descendants and the kernel's own threads. The error is that of reading /proc.
+// boundProcesses returns the processes that may use only some of the allowed processors, judged by their first threads. This
+// process, its descendants and the kernel's own threads are left out. The error is that of reading /proc.
 func boundProcesses(allowed *unix.CPUSet) ([]boundProcess, error) {
 	entries, err := os.ReadDir("/proc")
 	if err != nil {
@@ -37,11 +38,11 @@
 	for _, entry := range entries {
 		id, err := strconv.Atoi(entry.Name())
 		if err != nil {
-			continue // no process
+			continue // not a process
 		}
 		process := boundProcess{id: id}
-		if err := unix.SchedGetaffinity(id, &process.processors); err != nil || !isPart(&process.processors, allowed) {
-			continue // it has ended, or may use all that are allowed here
+		if err := unix.SchedGetaffinity(id, &process.processors); err != nil || !containsSome(&process.processors, allowed) {
+			continue // the process has ended, or may use all allowed processors or none of them
 		}
 		if process.readCommand() {
 			bound = append(bound, process)
@@ -50,18 +51,19 @@
 	return bound, nil
 }
 
-// isPart reports whether a set has some of the allowed processors and not all.
-func isPart(set, allowed *unix.CPUSet) bool {
-	both := 0
+// containsSome reports whether a set contains some of the allowed processors but not all.
+func containsSome(set, allowed *unix.CPUSet) bool {
+	common := 0
 	for processor := range maxProcessors {
 		if set.IsSet(processor) && allowed.IsSet(processor) {
-			both++
+			common++
 		}
 	}
-	return both > 0 && both < allowed.Count()
+	return common > 0 && common < allowed.Count()
 }
 
-// readCommand reads the process's name, and reports whether it is another's: not of the kernel, this process or a descendant.
+// readCommand reads the process's command name. It returns false for a process that has ended, a kernel thread, this process
+// and its descendants.
 func (b *boundProcess) readCommand() bool {
 	process, err := procfs.NewProc(b.id)
 	if err != nil {
@@ -72,11 +74,11 @@
 		return false
 	}
 	b.command = stat.Comm
-	return b.id != os.Getpid() && !isDescendant(stat.PPID)
+	return b.id != os.Getpid() && !isSelfOrDescendant(stat.PPID)
 }
 
-// isDescendant reports whether this process is one, by its id, or an ancestor of it.
-func isDescendant(id int) bool {
+// isSelfOrDescendant reports whether a process id is that of this process or of one of its descendants.
+func isSelfOrDescendant(id int) bool {
 	for id > 1 && id != os.Getpid() {
 		process, err := procfs.NewProc(id)
 		if err != nil {
--- a/internal/affinity/reservation.go
+++ b/internal/affinity/reservation.go
@@ -1,7 +1,7 @@
-// Package affinity gives processors of this machine to the processes of one run alone. A process that is bound to a processor
-// which others are bound to is measured wrongly, and takes it from them: the scheduler can move neither away. The package decides
-// which processors are free, holds them against other runs and keeps this process's own threads off them. It does not limit what
-// processes that are not bound use.
+// Package affinity reserves processors of this machine for the processes of one rehearsal. Two processes bound to the same
+// processor distort each other's measurements, as the scheduler can move neither to another one. The package decides which
+// processors are free, locks them against other runs on the machine, and keeps the threads of this process off them. It does
+// not limit which processors unbound processes use.
 package affinity
 
 import (
@@ -12,47 +12,51 @@
 	"golang.org/x/sys/unix"
 )
 
-// processorFolder has a folder for each processor, see the kernel's Documentation/ABI/testing/sysfs-devices-system-cpu.
-const processorFolder = "/sys/devices/system/cpu"
+// processorDirectory has a subdirectory for each processor, see the kernel's
+// Documentation/ABI/testing/sysfs-devices-system-cpu.
+const processorDirectory = "/sys/devices/system/cpu"
 
-// maxProcessors is how many processors a unix.CPUSet can name.
+// maxProcessors is the number of processors that a unix.CPUSet can hold.
 const maxProcessors = 1024
 
-// Reservation holds processors until it is released or its process ends.
+// Reservation holds processors until Release is called or the process ends.
 type Reservation struct {
-	allowed    unix.CPUSet // as it was made
-	processors []int
-	locks      []*os.File
+	allowed    unix.CPUSet // the processors that this process could use when the reservation was made
+	processors []int       // numbers of the reserved processors, highest first
+	locks      []*os.File  // one locked directory for each reserved processor
 }
 
-// UnavailableError says that there are not as many free processors as were wanted, beside one for the rest.
+// UnavailableError reports that Reserve found too few free processors: it needs those requested and one more, which is left for
+// other work.
 type UnavailableError struct {
-	Wanted   int
-	Free     int
-	Reason   string // why the first of the others is not free, "" where this process may use too few
-	Reserved []int  // by other runs
+	Wanted   int    // number of processors requested
+	Free     int    // number of free processors found, Wanted at most
+	Reason   string // why the first processor that is not free is unavailable, "" if this process is allowed too few
+	Reserved []int  // numbers of the processors that other runs have reserved
 }
 
+// Error implements error.
 func (e *UnavailableError) Error() string {
-	text := fmt.Sprintf("%d processors are wanted, beside one for the rest, and %d are free", e.Wanted, e.Free)
+	text := fmt.Sprintf("%d processors were requested, besides one for other work, and %d are free", e.Wanted, e.Free)
 	if e.Reason == "" {
 		return text
 	}
 	return text + ": " + e.Reason
 }
 
-// note keeps why a processor is not free.
-func (e *UnavailableError) note(processor int, reason string) {
+// setReason records why a processor is not free, for the first such processor only.
+func (e *UnavailableError) setReason(processor int, reason string) {
 	if e.Reason == "" {
 		e.Reason = fmt.Sprintf("processor %d %s", processor, reason)
 	}
 }
 
-// Reserve takes as many processors as are wanted, the highest ones that are free, and leaves one at least. A processor is free if
-// no other run has reserved it, and no process of others is bound to it or to a part of the processors that it is in. The error is
-// an *UnavailableError, or that of reading /proc or this process's own binding.
+// Reserve reserves the highest-numbered free processors, as many as are wanted, and leaves at least one to this process. A
+// processor is free if no other run has reserved it and no process outside this process's descendants is bound to it, or to a
+// subset of the allowed processors that contains it. The error is an *UnavailableError, or that of reading /proc or this
+// process's own binding.
 func Reserve(wanted int) (*Reservation, error) {
-	allowed, err := own.allowed()
+	allowed, err := ownThreads.allowed()
 	if err != nil {
 		return nil, err
 	}
@@ -71,12 +75,12 @@
 		switch {
 		case err == unix.EWOULDBLOCK:
 			unavailable.Reserved = append(unavailable.Reserved, processor)
-			unavailable.note(processor, "is reserved by another run")
-		case err != nil: // without sysfs nothing is known of other runs
-			unavailable.note(processor, fmt.Sprintf("can't be locked: %v", err))
+			unavailable.setReason(processor, "is reserved by another run")
+		case err != nil: // without the lock, reservations of other runs cannot be detected
+			unavailable.setReason(processor, fmt.Sprintf("cannot be locked: %v", err))
 		case holder != nil:
 			lock.Close()
-			unavailable.note(processor, holder.String())
+			unavailable.setReason(processor, holder.String())
 		case len(r.processors) < wanted:
 			r.processors = append(r.processors, processor)
 			r.locks = append(r.locks, lock)
@@ -89,36 +93,37 @@
 		r.unlock()
 		return nil, unavailable
 	}
-	if err := own.avoid(r.processors); err != nil {
+	if err := ownThreads.avoid(r.processors); err != nil {
 		r.unlock()
 		return nil, err
 	}
 	return r, nil
 }
 
-// lockProcessor locks a processor against other runs, with unix.EWOULDBLOCK where one has it. The kernel ends the lock with the
-// process, however that ends; the folder itself is locked, so that nothing is left behind.
+// lockProcessor locks a processor against other runs. It returns unix.EWOULDBLOCK if another run holds the lock. The lock is on
+// the processor's directory in sysfs: the kernel releases it however the process ends, and no file is left behind.
 func lockProcessor(processor int) (*os.File, error) {
-	folder, err := os.Open(filepath.Join(processorFolder, fmt.Sprintf("cpu%d", processor)))
+	directory, err := os.Open(filepath.Join(processorDirectory, fmt.Sprintf("cpu%d", processor)))
 	if err != nil {
 		return nil, err
 	}
-	if err := unix.Flock(int(folder.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		folder.Close()
+	if err := unix.Flock(int(directory.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
+		directory.Close()
 		return nil, err
 	}
-	return folder, nil
+	return directory, nil
 }
 
-// Processors are those that are held, highest first.
+// Processors returns the numbers of the reserved processors, highest first.
 func (r *Reservation) Processors() []int { return r.processors }
 
-// Release gives the processors back, and lets this process use them again. Another call does nothing.
+// Release gives up the processors and lets this process use them again. Further calls do nothing.
 func (r *Reservation) Release() {
-	own.release(r.processors)
+	ownThreads.release(r.processors)
 	r.unlock()
 }
 
+// unlock releases the locks and forgets the processors.
 func (r *Reservation) unlock() {
 	for _, lock := range r.locks {
 		lock.Close()
@@ -126,20 +131,22 @@
 	r.locks, r.processors = nil, nil
 }
 
-// Unbind lets the processes of a group use all processors that this one may use. The error is that of reading /proc.
+// Unbind lets all processes of a process group use every processor that this process may use. The error is that of reading
+// /proc.
 func (r *Reservation) Unbind(group int) error { return bindGroup(group, &r.allowed) }
 
-// Avoid keeps this process's threads, and so the processes that it starts, off processors that other runs have reserved. What it
-// returns takes that back.
+// Avoid keeps the threads of this process, and thereby the processes that it starts, off processors that other runs have
+// reserved. The returned function undoes that.
 func Avoid(processors []int) (release func(), err error) {
-	if err := own.avoid(processors); err != nil {
+	if err := ownThreads.avoid(processors); err != nil {
 		return nil, err
 	}
-	return func() { own.release(processors) }, nil
+	return func() { ownThreads.release(processors) }, nil
 }
 
-// Intruder says which other process has been bound to a held processor since, "" for none. The error is that of reading /proc.
-func (r *Reservation) Intruder() (string, error) {
+// ForeignProcess describes a process that is not a descendant of this one and has been bound to a reserved processor in the
+// meantime, "" for none. The error is that of reading /proc.
+func (r *Reservation) ForeignProcess() (string, error) {
 	bound, err := boundProcesses(&r.allowed)
 	if err != nil {
 		return "", err
--- a/internal/affinity/threads.go
+++ b/internal/affinity/threads.go
@@ -11,67 +11,71 @@
 	"golang.org/x/sys/unix"
 )
 
-// own is how this process's threads are bound, for all its runs together.
-var own = ownThreads{avoided: map[int]int{}}
+// ownThreads is the binding of this process's threads, shared by all reservations of the process.
+var ownThreads = threadBinding{avoided: map[int]int{}}
 
-type ownThreads struct {
+// threadBinding keeps the threads of this process off the processors that are avoided.
+type threadBinding struct {
 	mu       sync.Mutex
-	original unix.CPUSet // before the first processor was avoided
-	avoided  map[int]int // by processor, by how many runs
+	original unix.CPUSet // the processors allowed before the first one was avoided
+	avoided  map[int]int // by processor, the number of callers of avoid that have not released it
 }
 
-// allowed are the processors that this process may use, those included that it avoids by itself.
-func (o *ownThreads) allowed() (unix.CPUSet, error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if len(o.avoided) > 0 {
-		return o.original, nil
+// allowed returns the processors that this process may use, including those that it avoids of its own accord.
+func (b *threadBinding) allowed() (unix.CPUSet, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if len(b.avoided) > 0 {
+		return b.original, nil
 	}
 	var set unix.CPUSet
 	err := unix.SchedGetaffinity(0, &set)
 	return set, err
 }
 
-// avoid keeps all threads off some processors, until release is called with the same.
-func (o *ownThreads) avoid(processors []int) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if len(o.avoided) == 0 {
-		if err := unix.SchedGetaffinity(0, &o.original); err != nil {
+// avoid keeps all threads off the given processors until release is called with the same ones.
+func (b *threadBinding) avoid(processors []int) error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if len(b.avoided) == 0 {
+		if err := unix.SchedGetaffinity(0, &b.original); err != nil {
 			return err
 		}
 	}
 	for _, processor := range processors {
-		o.avoided[processor]++
+		b.avoided[processor]++
 	}
-	o.bind()
+	b.bind()
 	return nil
 }
 
-func (o *ownThreads) release(processors []int) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+// release undoes one call of avoid with the same processors.
+func (b *threadBinding) release(processors []int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	for _, processor := range processors {
-		if o.avoided[processor]--; o.avoided[processor] <= 0 {
-			delete(o.avoided, processor)
+		if b.avoided[processor]--; b.avoided[processor] <= 0 {
+			delete(b.avoided, processor)
 		}
 	}
-	o.bind()
+	b.bind()
 }
 
-// bind binds all threads to what is not avoided, or to all where nothing else is left. It needs the lock.
-func (o *ownThreads) bind() {
-	rest := o.original
-	for processor := range o.avoided {
-		rest.Clear(processor)
+// bind binds all threads to the processors that are not avoided, or to all original ones if none would be left. The caller must
+// hold mu.
+func (b *threadBinding) bind() {
+	remaining := b.original
+	for processor := range b.avoided {
+		remaining.Clear(processor)
 	}
-	if rest.Count() == 0 {
-		rest = o.original
+	if remaining.Count() == 0 {
+		remaining = b.original
 	}
-	bindThreads(os.Getpid(), &rest)
+	bindThreads(os.Getpid(), &remaining)
 }
 
-// bindThreads binds the threads of a process. Those that end meanwhile need no binding, and those that start inherit it.
+// bindThreads binds the threads of a process to a set of processors. Threads that end meanwhile need no binding, and new ones
+// inherit it.
 func bindThreads(pid int, set *unix.CPUSet) {
 	threads, _ := os.ReadDir("/proc/" + strconv.Itoa(pid) + "/task")
 	for _, thread := range threads {
@@ -81,10 +85,11 @@
 	}
 }
 
-// StartOn starts a command bound to a processor: a process inherits the binding of the thread that starts it.
+// StartOn starts a command bound to one processor. A process inherits the binding of the thread that starts it, so the calling
+// thread is bound for the duration of the call.
 func StartOn(command *exec.Cmd, processor int) error {
-	own.mu.Lock()
-	defer own.mu.Unlock()
+	ownThreads.mu.Lock()
+	defer ownThreads.mu.Unlock()
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	var before, only unix.CPUSet
@@ -99,10 +104,11 @@
 	return command.Start()
 }
 
-// bindPasses is how often a group is gone through: a thread may start by one that is not unbound yet.
+// bindPasses is how often bindGroup goes through a process group, because a thread that is not bound yet may start another one
+// meanwhile.
 const bindPasses = 3
 
-// bindGroup binds all processes of a process group. The error is that of reading /proc.
+// bindGroup binds all processes of a process group to a set of processors. The error is that of reading /proc.
 func bindGroup(group int, set *unix.CPUSet) error {
 	for range bindPasses {
 		processes, err := procfs.AllProcs()
--- a/internal/rehearse/binding.go
+++ b/internal/rehearse/binding.go
@@ -49,7 +49,7 @@
 		return
 	}
 	b.lastCheckAt = r.now()
-	intruder, err := b.reservation.Intruder()
+	intruder, err := b.reservation.ForeignProcess()
 	if err != nil || intruder == "" {
 		return // without /proc foreign processes can't be found
 	}
