--- a/cmd/chalkferry/capacity.go
+++ b/cmd/chalkferry/capacity.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	if c.Page != "" {
-		return capacity.RenewPage(c.Page, size, slopes)
+		return capacity.UpdatePage(c.Page, size, slopes)
 	}
 	return capacity.Table(os.Stdout, size, slopes)
 }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -7,33 +7,33 @@
 	"strings"
 )
 
-// The part of a page between the two markers is what Table prints.
+// The markers of a page. Table prints the text between them.
 const (
 	pageBegin = "<!-- capacity: begin; printed by `chalkferry capacity`, not to be edited -->\n"
 	pageEnd   = "<!-- capacity: end -->\n"
 )
 
-var errNoMarkers = errors.New("the page does not have the two markers")
+var errNoMarkers = errors.New("the page lacks the begin or the end marker of the capacity table")
 
-// PagePart is what stands between the markers of a page.
-func PagePart(page string) (string, error) {
-	_, rest, found := strings.Cut(page, pageBegin)
-	part, _, ended := strings.Cut(rest, pageEnd)
-	if !found || !ended {
+// TableOfPage returns the text between the markers of a page.
+func TableOfPage(page string) (string, error) {
+	_, afterBegin, hasBegin := strings.Cut(page, pageBegin)
+	part, _, hasEnd := strings.Cut(afterBegin, pageEnd)
+	if !hasBegin || !hasEnd {
 		return "", errNoMarkers
 	}
 	return part, nil
 }
 
-// RenewPage writes the table between the markers of a page.
-func RenewPage(name string, size *Size, slopes *Slopes) error {
+// UpdatePage replaces the text between the markers of a page with the table.
+func UpdatePage(name string, size *Size, slopes *Slopes) error {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return err
 	}
-	before, rest, found := strings.Cut(string(text), pageBegin)
-	_, after, ended := strings.Cut(rest, pageEnd)
-	if !found || !ended {
+	before, afterBegin, hasBegin := strings.Cut(string(text), pageBegin)
+	_, after, hasEnd := strings.Cut(afterBegin, pageEnd)
+	if !hasBegin || !hasEnd {
 		return fmt.Errorf("%s: %w", name, errNoMarkers)
 	}
 	var table strings.Builder
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -7,8 +7,10 @@
 	"testing"
 )
 
+// docs is the directory of the pages, relative to this package.
 const docs = "../../docs"
 
+// readCommitted reads the size and the slopes from the pages.
 func readCommitted(t *testing.T) (*Size, *Slopes) {
 	t.Helper()
 	size, err := ReadSize(filepath.Join(docs, "capacity", "size.toml"))
@@ -22,7 +24,8 @@
 	return size, slopes
 }
 
-// TestPageIsPrinted: the page has what the command prints for the size and slopes that lie beside it.
+// TestPageIsPrinted checks that the page contains the table that the command prints for the size and slopes beside it. It
+// guards against a page that was not updated after a change of the code, the size or the slopes.
 func TestPageIsPrinted(t *testing.T) {
 	size, slopes := readCommitted(t)
 	var want strings.Builder
@@ -33,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := PagePart(string(page))
+	got, err := TableOfPage(string(page))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,29 +52,29 @@
 	t.Fatalf("%d lines between the markers, %d are printed", len(gotLines), len(wantLines))
 }
 
-// TestSlopesNameTheirRuns: each slope that a figure is worked out from names the command, commit, date and machine of
-// its run, and its fit is that of its points.
+// TestSlopesNameTheirRuns checks that each slope in use names the command, commit, date and machine of its run, and that its
+// fit is that of its points.
 func TestSlopesNameTheirRuns(t *testing.T) {
 	size, slopes := readCommitted(t)
 	measured := 0
 	for _, name := range UsedSlopes(size) {
 		s := slopes.Get(name)
 		if s == nil {
-			continue // the page says "not measured"
+			continue // the page prints "not measured"
 		}
 		measured++
 		if s.Origin.Command == "" || s.Origin.Commit == "" || s.Origin.Date == "" || s.Origin.Machine == "" || s.Variable == "" || s.Runs < 1 {
-			t.Errorf("%s does not name its run: %+v", name, s.Origin)
+			t.Errorf("%s does not identify its run: %+v", name, s.Origin)
 		}
 		again := *s
 		if err := again.Fit(); err != nil {
 			t.Error(err)
 			continue
 		}
-		_, most := s.Range()
-		for _, x := range []float64{most / 3, most} {
-			if fit, refit := s.At(x), again.At(x); fit < refit*(1-1e-9) || fit > refit*(1+1e-9) {
-				t.Errorf("%s at %v is %v by the file and %v by its points", name, x, fit, refit)
+		_, largest := s.Range()
+		for _, x := range []float64{largest / 3, largest} {
+			if fit, refit := s.ValueAt(x), again.ValueAt(x); fit < refit*(1-1e-9) || fit > refit*(1+1e-9) {
+				t.Errorf("%s at %v is %v by the fit in the file and %v by a new fit to its points", name, x, fit, refit)
 			}
 		}
 	}
@@ -80,7 +83,8 @@
 	}
 }
 
-// TestEachUnknownIsAsked: each unknown parameter is a question in the page of questions.
+// TestEachUnknownIsAsked checks that each unknown parameter is asked for on the page of questions, under the number that the
+// size file gives.
 func TestEachUnknownIsAsked(t *testing.T) {
 	size, _ := readCommitted(t)
 	text, err := os.ReadFile(filepath.Join(docs, "questions.md"))
--- a/internal/capacity/quantity.go
+++ b/internal/capacity/quantity.go
@@ -8,21 +8,21 @@
 	"strings"
 )
 
-// Unit says how a value is printed.
+// Unit is the unit of a value and determines how it is printed.
 type Unit int
 
 const (
-	Number    Unit = iota
-	Bytes          // of memory, in powers of 1,024
-	Traffic        // bytes on the network, in powers of 1,000
-	PerSecond      // events in a second
-	TrafficPerSecond
-	Cores   // processor time in a second, as a share of a core
-	Seconds // of delay
-	Share
+	Number           Unit = iota // a plain number
+	Bytes                        // of memory, printed in powers of 1,024
+	Traffic                      // bytes on the network, printed in powers of 1,000
+	PerSecond                    // events per second
+	TrafficPerSecond             // bytes on the network per second
+	Cores                        // processor time per second, as a share of a core
+	Seconds                      // of a delay
+	Share                        // a ratio, printed as a percentage
 )
 
-// ControlPart says into which sum of control a quantity goes.
+// ControlPart is the total of a proxy's control costs to which a quantity is added.
 type ControlPart int
 
 const (
@@ -32,52 +32,53 @@
 	controlTraffic
 )
 
-// Term is one part of a quantity: Times what a slope says at a value of its variable, or Times what it says for each
-// unit of the variable.
+// Term is a summand of a quantity: Multiplier times the value of a slope at X, or, with PerUnit, Multiplier times what the
+// slope adds per unit of its variable.
 type Term struct {
-	Slope   string
-	At      float64
-	Times   float64
-	Scale   float64 // of the slope's unit in the quantity's, such as a nanosecond in seconds; 0 for the same unit
-	PerUnit bool    // in place of the value at At
+	Slope      string  // name of the slope
+	X          float64 // value of the slope's variable
+	Multiplier float64 // how often the slope's value counts, such as times per second
+	Scale      float64 // the slope's unit in units of the quantity, such as 1e-9 for a nanosecond in seconds; 0 for the same unit
+	PerUnit    bool    // use the slope's mean increase per unit in place of its value at X
 }
 
-// Ceiling is what a quantity may come to.
+// Ceiling is the largest value that a quantity may have.
 type Ceiling struct {
-	Value func(*Case) float64 // nil: none is given
-	Says  string              // where it is from
+	Value  func(*Case) float64 // nil for no ceiling
+	Source string              // where the ceiling comes from, for the table
 }
 
-// Quantity is one figure of a role. Either its terms come from runs, or it is worked out from the size alone, or it is
-// not measured.
+// Quantity is one figure of a role, a row of its table. It is either the sum of terms that use measured slopes, or computed
+// from the size alone, or, with neither, not measured.
 type Quantity struct {
-	What    string
-	Unit    Unit
-	Terms   func(*Case) []Term
-	Worked  func(*Case) float64
-	Ceiling Ceiling
-	Part    ControlPart
-	Before  bool   // of what has been replaced: for comparison only
-	Note    string // how it was worked out, or why it was not measured
+	Label      string // the row's label
+	Unit       Unit
+	Terms      func(*Case) []Term  // the terms to add up, nil if no slopes are used
+	Computed   func(*Case) float64 // computes the value from the size alone, nil if slopes are used
+	Ceiling    Ceiling
+	Part       ControlPart // the total to which the value is added
+	IsReplaced bool        // of a mechanism that has been replaced: shown for comparison, not in summaries
+	Note       string      // for the table: how the value was computed, or why it was not measured
 }
 
-// Role is one job of the program or of the machines beside it.
+// Role is one job of the program or of the machines beside it, with the figures of its cost.
 type Role struct {
 	Name       string
-	Mechanism  string // that carries it, "none" where there is none
-	About      []string
+	Mechanism  string   // the mechanism that does the job, for the table
+	Notes      []string // paragraphs above the role's table
 	Quantities []Quantity
 }
 
-// figure is a quantity at one case.
+// figure is the value of a quantity in one case.
 type figure struct {
 	value float64
-	known bool // all of its slopes are measured
+	known bool // whether all slopes that it uses have been measured
 }
 
-func (q *Quantity) at(c *Case, slopes *Slopes) figure {
-	if q.Worked != nil {
-		return figure{value: q.Worked(c), known: true}
+// evaluate computes the quantity in a case. The figure is unknown if a run is missing for one of its slopes.
+func (q *Quantity) evaluate(c *Case, slopes *Slopes) figure {
+	if q.Computed != nil {
+		return figure{value: q.Computed(c), known: true}
 	}
 	if q.Terms == nil {
 		return figure{}
@@ -85,24 +86,24 @@
 	f := figure{known: true}
 	for _, term := range q.Terms(c) {
 		s := slopes.Get(term.Slope)
-		if s == nil || !s.Knows(term.At) || s.Exact && term.PerUnit {
+		if s == nil || !s.HasValueAt(term.X) || s.Exact && term.PerUnit {
 			return figure{}
 		}
-		f.value += term.Times * cmp.Or(term.Scale, 1) * s.term(term)
+		f.value += term.Multiplier * cmp.Or(term.Scale, 1) * s.termValue(term)
 	}
 	return f
 }
 
-// term is the value that a term takes of the slope.
-func (s *Slope) term(t Term) float64 {
+// termValue returns the slope's part of a term: its value at X, or its mean increase per unit over the measured range.
+func (s *Slope) termValue(t Term) float64 {
 	if !t.PerUnit {
-		return s.At(t.At)
+		return s.ValueAt(t.X)
 	}
-	least, most := s.Range()
-	return (s.At(most) - s.At(least)) / (most - least)
+	smallest, largest := s.Range()
+	return (s.ValueAt(largest) - s.ValueAt(smallest)) / (largest - smallest)
 }
 
-// ratio is a figure as a share of its ceiling, 0 where there is none.
+// ratio returns a figure as a share of its ceiling, 0 if the figure is unknown or there is no ceiling.
 func (q *Quantity) ratio(c *Case, f figure) float64 {
 	if !f.known || q.Ceiling.Value == nil {
 		return 0
@@ -110,7 +111,7 @@
 	return f.value / q.Ceiling.Value(c)
 }
 
-// verdict is what is printed of a figure and its ceiling.
+// verdict returns the text that compares a figure with its ceiling.
 func (q *Quantity) verdict(c *Case, f figure) string {
 	ratio := q.ratio(c, f)
 	switch {
@@ -124,7 +125,7 @@
 	return fmt.Sprintf("**beyond by %s**", significant(ratio))
 }
 
-// text prints the figure.
+// text formats the figure with its unit.
 func (q *Quantity) text(f figure) string {
 	if !f.known {
 		return "not measured"
@@ -132,7 +133,7 @@
 	return q.Unit.format(f.value)
 }
 
-// format prints a value with its unit.
+// format formats a value with the unit.
 func (u Unit) format(value float64) string {
 	switch u {
 	case Bytes:
@@ -156,15 +157,16 @@
 	return significant(value)
 }
 
+// scaled formats a value in the largest of the units, each step times the one before it, in which it is 1 or more.
 func scaled(value, step float64, units ...string) string {
-	at := 0
-	for value >= step && at < len(units)-1 {
-		value, at = value/step, at+1
+	unit := 0
+	for value >= step && unit < len(units)-1 {
+		value, unit = value/step, unit+1
 	}
-	return significant(value) + " " + units[at]
+	return significant(value) + " " + units[unit]
 }
 
-// significant prints three digits at most, with commas from 1,000 on.
+// significant formats a value with three significant digits at most, and with commas from 1,000 on.
 func significant(value float64) string {
 	if value == 0 {
 		return "0"
@@ -178,21 +180,21 @@
 	return grouped(math.Round(value/scale) * scale)
 }
 
-// grouped prints a whole number with commas.
+// grouped formats a whole number with a comma before each group of three digits.
 func grouped(value float64) string {
 	text, sign := fmt.Sprintf("%.0f", math.Abs(value)), ""
 	if value < 0 {
 		sign = "-"
 	}
-	for at := len(text) - 3; at > 0; at -= 3 {
-		text = text[:at] + "," + text[at:]
+	for comma := len(text) - 3; comma > 0; comma -= 3 {
+		text = text[:comma] + "," + text[comma:]
 	}
 	return sign + text
 }
 
-// sources names the slopes behind a quantity with the values of their variables, by the cases.
-func (q *Quantity) sources(cases [2]*Case, slopes *Slopes) string {
-	if q.Worked != nil {
+// sourceText describes where a quantity comes from: its slopes, with the values of their variables in both cases, and its note.
+func (q *Quantity) sourceText(cases [2]*Case, slopes *Slopes) string {
+	if q.Computed != nil {
 		return "worked out: " + q.Note
 	}
 	if q.Terms == nil {
@@ -201,7 +203,7 @@
 	var parts []string
 	terms := [2][]Term{q.Terms(cases[0]), q.Terms(cases[1])}
 	for i, low := range terms[0] {
-		parts = append(parts, sourceOf(low, terms[1][i], slopes))
+		parts = append(parts, termSourceText(low, terms[1][i], slopes))
 	}
 	text := strings.Join(parts, " + ")
 	if q.Note != "" {
@@ -210,7 +212,8 @@
 	return text
 }
 
-func sourceOf(low, high Term, slopes *Slopes) string {
+// termSourceText describes where a term comes from, by its values in the low and the high case.
+func termSourceText(low, high Term, slopes *Slopes) string {
 	s := slopes.Get(low.Slope)
 	if s == nil {
 		return fmt.Sprintf("`%s`, which no run has measured", low.Slope)
@@ -219,29 +222,30 @@
 	if low.PerUnit {
 		text += " for each of " + s.Variable
 	} else {
-		text += " at " + bothTexts(significant(low.At), significant(high.At)) + " " + s.Variable
+		text += " at " + joinDistinct(significant(low.X), significant(high.X)) + " " + s.Variable
 	}
-	if low.Times != 1 || high.Times != 1 {
-		text += ", times " + bothTexts(significant(low.Times), significant(high.Times))
+	if low.Multiplier != 1 || high.Multiplier != 1 {
+		text += ", times " + joinDistinct(significant(low.Multiplier), significant(high.Multiplier))
 	}
-	if beyond := max(s.Beyond(low.At), s.Beyond(high.At)); beyond > worthTelling && !low.PerUnit {
-		text += fmt.Sprintf(" (%s times the range)", significant(beyond))
+	if extrapolation := max(s.ExtrapolationFactor(low.X), s.ExtrapolationFactor(high.X)); extrapolation > minReportedExtrapolation && !low.PerUnit {
+		text += fmt.Sprintf(" (%s times the range)", significant(extrapolation))
 	}
 	return text
 }
 
-// worthTelling is from how many times the measured range on it is told.
-const worthTelling = 1.01
+// minReportedExtrapolation is the extrapolation factor above which the table mentions it.
+const minReportedExtrapolation = 1.01
 
-func bothTexts(low, high string) string {
+// joinDistinct returns both texts, or one if they are the same.
+func joinDistinct(low, high string) string {
 	if low == high {
 		return low
 	}
 	return low + " and " + high
 }
 
-// slopesOf names all slopes that a role uses, in order and once each.
-func (r *Role) slopesOf(c *Case) (names []string) {
+// slopeNames returns the names of all slopes that a role uses, in order of use and once each.
+func (r *Role) slopeNames(c *Case) (names []string) {
 	for _, q := range r.Quantities {
 		if q.Terms == nil {
 			continue
--- a/internal/capacity/rehearsals.go
+++ b/internal/capacity/rehearsals.go
@@ -6,19 +6,19 @@
 	"os"
 )
 
-// Names of the slopes that rehearsals of one real proxy give, and of their variables.
+// Names of the slopes that are fitted to rehearsals of one real proxy, and of their variables and units.
 const (
 	SlopeProcessMemory      = "Process.rss-B"         // by open sessions
 	SlopeProcessDescriptors = "Process.descriptors"   // by open sessions
-	SlopeSessionTime        = "ProcessSessions.cpu-s" // of all sessions begun in a run
-	SlopeMessageTime        = "ProcessMessages.cpu-s" // of all messages answered in a run
+	SlopeSessionTime        = "ProcessSessions.cpu-s" // of all sessions begun in a rehearsal
+	SlopeMessageTime        = "ProcessMessages.cpu-s" // of all messages answered in a rehearsal
 	variableSessions        = "sessions"              // open at a time, or begun
-	variableMessages        = "messages"              // a line of a client and its answer
-	bytesInMB               = 1 << 20                 // as rehearsals count memory
-	processorSeconds        = "cpu-s"                 // of the proxy's process, user and system
+	variableMessages        = "messages"              // a message is a line of a client and its answer
+	bytesInMB               = 1 << 20                 // rehearsals report memory in MiB
+	processorSeconds        = "cpu-s"                 // processor time of the proxy's process, user and system
 )
 
-// rehearsal is the part of a report of `chalkferry rehearse --json` that is read here.
+// rehearsal holds the part of a report of `chalkferry rehearse --json` that this package reads.
 type rehearsal struct {
 	Sessions float64 `json:"sessions"`
 	Messages struct {
@@ -34,8 +34,8 @@
 	} `json:"proxies"`
 }
 
-// FromRehearsals fits slopes to reports of one proxy each. Of reports with sessions varied it takes memory, descriptors
-// and processor time by sessions; of those with messages varied the processor time by messages.
+// FromRehearsals fits slopes to reports of rehearsals with one proxy each. Reports in which the sessions vary give memory,
+// descriptors and processor time by sessions; those in which the messages vary give processor time by messages.
 func FromRehearsals(bySessions, byMessages []string, origin Origin) ([]*Slope, error) {
 	memory := &Slope{Name: SlopeProcessMemory, Unit: "rss-B", Variable: variableSessions}
 	descriptors := &Slope{Name: SlopeProcessDescriptors, Unit: "descriptors", Variable: variableSessions}
@@ -46,20 +46,20 @@
 		if err != nil {
 			return nil, err
 		}
-		open := 0.0
+		openSessions := 0.0
 		for _, sample := range r.Samples {
-			open = max(open, sample.Open)
+			openSessions = max(openSessions, sample.Open)
 		}
-		memory.keepLeast(open, r.Proxies[0].PeakRSSMB*bytesInMB)
-		descriptors.keepLeast(open, r.Proxies[0].Descriptors)
-		sessions.keepLeast(r.Sessions, r.Proxies[0].CPUSeconds)
+		memory.addMinimum(openSessions, r.Proxies[0].PeakRSSMB*bytesInMB)
+		descriptors.addMinimum(openSessions, r.Proxies[0].Descriptors)
+		sessions.addMinimum(r.Sessions, r.Proxies[0].CPUSeconds)
 	}
 	for _, name := range byMessages {
 		r, err := readRehearsal(name)
 		if err != nil {
 			return nil, err
 		}
-		messages.keepLeast(r.Messages.Count, r.Proxies[0].CPUSeconds)
+		messages.addMinimum(r.Messages.Count, r.Proxies[0].CPUSeconds)
 	}
 	var slopes []*Slope
 	for _, s := range []*Slope{memory, descriptors, sessions, messages} {
@@ -75,6 +75,7 @@
 	return slopes, nil
 }
 
+// readRehearsal reads the report of a rehearsal with one proxy.
 func readRehearsal(name string) (*rehearsal, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -85,7 +86,7 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	if len(r.Proxies) != 1 {
-		return nil, fmt.Errorf("%s: %d proxies, one is needed", name, len(r.Proxies))
+		return nil, fmt.Errorf("%s: the rehearsal had %d proxies, want 1", name, len(r.Proxies))
 	}
 	return r, nil
 }
--- a/internal/capacity/scaleruns.go
+++ b/internal/capacity/scaleruns.go
@@ -8,31 +8,32 @@
 	"time"
 )
 
-// Prefixes of the slopes that scale runs give, by the mechanism that was run. All are by hollow members.
+// Prefixes of the names of slopes fitted to scale runs, by the mechanism that was run. Their variable is the number of hollow
+// members, which run a proxy's control code and serve no clients, see internal/scale.
 const (
 	scaleFlat        = "ScaleFlat."
 	scaleAggregation = "ScaleAggregation."
 	variableMembers  = "members"
 )
 
-// What follows the prefix. Of a member, where no role is named.
+// Rest of the names after the prefix. Without a role in the name the value is that of one member.
 const (
 	scaleCPU            = "cpu-share"
 	scaleMemory         = "memory-B"
 	scaleBytesIn        = "in-B/s"
 	scaleBytesOut       = "out-B/s"
-	scaleKnown99        = "known99-s" // a change of a count, at 99 in 100 members; the slowest change of a step
-	scaleKnownAll       = "known-all-s"
-	scaleList99         = "list99-s" // a change of the list
+	scaleKnown99        = "known99-s"   // seconds until 99 in 100 members know a change of a count; the slowest change of a step
+	scaleKnownAll       = "known-all-s" // seconds until all members know it
+	scaleList99         = "list99-s"    // seconds until 99 in 100 members know a change of the list
 	scaleDiscoveryCPU   = "discovery-cpu-share"
 	scaleDiscoveryOut   = "discovery-out-B/s"
-	scaleAggregatorCPU  = "aggregator-cpu-share" // of the busiest one
+	scaleAggregatorCPU  = "aggregator-cpu-share" // of the busiest aggregator
 	scaleAggregatorSize = "aggregator-memory-B"
 	scaleAggregatorIn   = "aggregator-in-B/s"
 	scaleAggregatorOut  = "aggregator-out-B/s"
 )
 
-// scaleReport is the part of a report of `chalkferry scale --json` that is read here.
+// scaleReport holds the part of a report of `chalkferry scale --json` that this package reads.
 type scaleReport struct {
 	Command   string      `json:"command"`
 	Commit    string      `json:"commit"`
@@ -42,21 +43,23 @@
 	Steps     []scaleStep `json:"steps"`
 }
 
+// scaleStep is the result at one number of members.
 type scaleStep struct {
 	Hollow int  `json:"hollow_members"`
-	Void   bool `json:"void"` // the generator was late
+	Void   bool `json:"void"` // the load generator was late, so the step does not count
 	Member struct {
-		CPUShare    float64 `json:"cpu_share"`
+		CPUShare    float64 `json:"cpu_share"` // processor time as a share of a core
 		MemoryBytes float64 `json:"memory_bytes"`
 		BytesIn     float64 `json:"bytes_in_per_second"`
 		BytesOut    float64 `json:"bytes_out_per_second"`
 	} `json:"hollow_member"`
-	Discovery    scaleRole     `json:"stand_in_discovery"`
-	Aggregators  []scaleRole   `json:"aggregators"`
-	CountChanges []scaleSpread `json:"count_changes"`
-	ListChanges  []scaleSpread `json:"list_changes"`
+	Discovery    scaleRole          `json:"stand_in_discovery"`
+	Aggregators  []scaleRole        `json:"aggregators"`
+	CountChanges []scalePropagation `json:"count_changes"`
+	ListChanges  []scalePropagation `json:"list_changes"`
 }
 
+// scaleRole is what one process of a role used.
 type scaleRole struct {
 	CPUShare float64 `json:"cpu_share"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -64,13 +67,14 @@
 	BytesOut float64 `json:"bytes_out_per_second"`
 }
 
-type scaleSpread struct {
-	P99 float64 `json:"known_99"` // seconds; -1: never
-	All float64 `json:"all"`
+// scalePropagation says how long one change took to reach the members.
+type scalePropagation struct {
+	P99 float64 `json:"known_99"` // seconds until 99 in 100 members knew it; -1 for never
+	All float64 `json:"all"`      // seconds until all members knew it; -1 for never
 }
 
-// FromScaleRun fits slopes to the steps of a scale run. Steps whose generator was late do not count, and a time that
-// some members never reached is left out of its slope. A figure with fewer than three steps is known at these only.
+// FromScaleRun fits slopes to the steps of a scale run. Steps with a late load generator do not count, and a time that some
+// members never reached is left out of its slope. A value with fewer than minFitPoints steps is known at these steps only.
 func FromScaleRun(name string, machine, note string) ([]*Slope, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -81,7 +85,7 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	if report.Command == "" || report.Commit == "" || report.Commit == "unknown" {
-		return nil, fmt.Errorf("%s names no command or no commit", name)
+		return nil, fmt.Errorf("%s: the report has no command or no commit", name)
 	}
 	prefix := scaleAggregation
 	if strings.HasPrefix(report.Mechanism, "flat counts") {
@@ -107,13 +111,13 @@
 				byName[figure.name] = s
 				names = append(names, figure.name)
 			}
-			s.keepLeast(float64(step.Hollow), figure.value)
+			s.addMinimum(float64(step.Hollow), figure.value)
 		}
 	}
 	var slopes []*Slope
 	for _, name := range names {
 		s := byName[name]
-		s.Exact = len(s.Points) < leastPoints
+		s.Exact = len(s.Points) < minFitPoints
 		if err := s.Fit(); err != nil {
 			return nil, err
 		}
@@ -122,45 +126,46 @@
 	return slopes, nil
 }
 
-// commitDigits are as many of a commit as tell it apart.
-const commitDigits = 7
+// shortCommitLength is how many digits of a commit hash identify the commit.
+const shortCommitLength = 7
 
-func shortCommit(commit string) string { return commit[:min(len(commit), commitDigits)] }
+func shortCommit(commit string) string { return commit[:min(len(commit), shortCommitLength)] }
 
+// scaleFigure is one value of a step, by the rest of its slope's name.
 type scaleFigure struct {
 	name  string
-	value float64 // -1: there is none
+	value float64 // -1 for no value
 }
 
-// figures of one step: those of members are means, those of a role are of the one that used most.
+// figures returns the values of a step: those of members are means, those of a role are of the process that used most.
 func (s *scaleStep) figures() []scaleFigure {
 	figures := []scaleFigure{
 		{scaleCPU, s.Member.CPUShare}, {scaleMemory, s.Member.MemoryBytes}, {scaleBytesIn, s.Member.BytesIn}, {scaleBytesOut, s.Member.BytesOut},
-		{scaleKnown99, slowest(s.CountChanges, func(c scaleSpread) float64 { return c.P99 })},
-		{scaleKnownAll, slowest(s.CountChanges, func(c scaleSpread) float64 { return c.All })},
-		{scaleList99, slowest(s.ListChanges, func(c scaleSpread) float64 { return c.P99 })},
+		{scaleKnown99, slowest(s.CountChanges, func(c scalePropagation) float64 { return c.P99 })},
+		{scaleKnownAll, slowest(s.CountChanges, func(c scalePropagation) float64 { return c.All })},
+		{scaleList99, slowest(s.ListChanges, func(c scalePropagation) float64 { return c.P99 })},
 		{scaleDiscoveryCPU, s.Discovery.CPUShare}, {scaleDiscoveryOut, s.Discovery.BytesOut},
 	}
 	if len(s.Aggregators) == 0 {
 		return figures
 	}
-	var most scaleRole
+	var busiest scaleRole
 	for _, a := range s.Aggregators {
-		most.CPUShare, most.MemoryMB = max(most.CPUShare, a.CPUShare), max(most.MemoryMB, a.MemoryMB)
-		most.BytesIn, most.BytesOut = max(most.BytesIn, a.BytesIn), max(most.BytesOut, a.BytesOut)
+		busiest.CPUShare, busiest.MemoryMB = max(busiest.CPUShare, a.CPUShare), max(busiest.MemoryMB, a.MemoryMB)
+		busiest.BytesIn, busiest.BytesOut = max(busiest.BytesIn, a.BytesIn), max(busiest.BytesOut, a.BytesOut)
 	}
-	return append(figures, scaleFigure{scaleAggregatorCPU, most.CPUShare}, scaleFigure{scaleAggregatorSize, most.MemoryMB * bytesInMB},
-		scaleFigure{scaleAggregatorIn, most.BytesIn}, scaleFigure{scaleAggregatorOut, most.BytesOut})
+	return append(figures, scaleFigure{scaleAggregatorCPU, busiest.CPUShare}, scaleFigure{scaleAggregatorSize, busiest.MemoryMB * bytesInMB},
+		scaleFigure{scaleAggregatorIn, busiest.BytesIn}, scaleFigure{scaleAggregatorOut, busiest.BytesOut})
 }
 
-// slowest is the longest of the times, -1 if there is none or some members never knew.
-func slowest(changes []scaleSpread, of func(scaleSpread) float64) float64 {
-	most := -1.0
+// slowest returns the longest time of the changes, -1 if there is none or some members never knew of a change.
+func slowest(changes []scalePropagation, timeOf func(scalePropagation) float64) float64 {
+	longest := -1.0
 	for _, c := range changes {
-		if of(c) < 0 {
+		if timeOf(c) < 0 {
 			return -1
 		}
-		most = max(most, of(c))
+		longest = max(longest, timeOf(c))
 	}
-	return most
+	return longest
 }
--- a/internal/capacity/size.go
+++ b/internal/capacity/size.go
@@ -7,32 +7,32 @@
 	"chalkferry/internal/strict"
 )
 
-// secondsInDay turns a rate of a day into one of a second.
+// secondsInDay converts rates per day to rates per second.
 const secondsInDay = 24 * 60 * 60
 
-// Size is a size of the fleet, and what a proxy may spend on control at it.
+// Size describes the size of a fleet and what a proxy may spend on control at it. It is read from a TOML file.
 type Size struct {
 	Proxies         float64     `toml:"proxies"`
 	Connections     float64     `toml:"connections"`
-	Shards          float64     `toml:"shards"`
-	LargestTopic    float64     `toml:"largest_topic"`
-	Deliveries      float64     `toml:"deliveries"` // a second
-	DeliveryWithin  strict.Span `toml:"delivery_within"`
+	Shards          float64     `toml:"shards"`          // of topics
+	LargestTopic    float64     `toml:"largest_topic"`   // its listeners
+	Deliveries      float64     `toml:"deliveries"`      // a second
+	DeliveryWithin  strict.Span `toml:"delivery_within"` // for 99 in 100 deliveries
 	Regions         float64     `toml:"regions"`
 	Zones           float64     `toml:"zones"`
-	Changes         float64     `toml:"changes"` // of configuration, a day
-	ChangedWithin   strict.Span `toml:"changed_within"`
-	ControlCores    float64     `toml:"control_cores"`
-	ControlMemoryMB float64     `toml:"control_memory_mb"`
-	ControlBytes    float64     `toml:"control_bytes"` // a second
-	ControlMachines float64     `toml:"control_machines"`
-	MachinesFail    float64     `toml:"machines_fail"` // a day
-	Restarts        float64     `toml:"restarts"`      // a day
-	RegionsApart    strict.Span `toml:"regions_apart"`
+	Changes         float64     `toml:"changes"`           // of configuration, a day
+	ChangedWithin   strict.Span `toml:"changed_within"`    // until a change is in force everywhere
+	ControlCores    float64     `toml:"control_cores"`     // share of a core, on a proxy
+	ControlMemoryMB float64     `toml:"control_memory_mb"` // MiB, on a proxy
+	ControlBytes    float64     `toml:"control_bytes"`     // a second, on a proxy
+	ControlMachines float64     `toml:"control_machines"`  // machines set aside for control
+	MachinesFail    float64     `toml:"machines_fail"`     // a day
+	Restarts        float64     `toml:"restarts"`          // a day
+	RegionsApart    strict.Span `toml:"regions_apart"`     // how long two regions are disconnected
 	Unknown         Unknowns    `toml:"unknown"`
 }
 
-// Unknowns are the parameters that no letter tells.
+// Unknowns are the parameters that the operators have not given.
 type Unknowns struct {
 	Servers          Unknown `toml:"servers"`
 	ListChanges      Unknown `toml:"list_changes"`       // a day
@@ -45,29 +45,29 @@
 	Rack             Unknown `toml:"rack"`               // proxies
 }
 
-// Unknown is a parameter with the value that costs less and the one that costs more.
+// Unknown is a parameter with an assumed low and high value; the low one costs less.
 type Unknown struct {
-	Unit     string  `toml:"unit"`
+	Unit     string  `toml:"unit"` // what the values count, for the table
 	Low      float64 `toml:"low"`
 	High     float64 `toml:"high"`
-	Question int     `toml:"question"` // its number in docs/questions.md
-	Reason   string  `toml:"reason"`
+	Question int     `toml:"question"` // the number of the question in docs/questions.md that asks for it
+	Reason   string  `toml:"reason"`   // why these values were assumed, for the table
 }
 
-// namedUnknown is one with its key in the file.
-type namedUnknown struct {
+// keyedUnknown is an unknown parameter with its key in the file.
+type keyedUnknown struct {
 	key string
 	*Unknown
 }
 
-// all are the unknown parameters in the order of the file.
-func (u *Unknowns) all() []namedUnknown {
-	return []namedUnknown{{"servers", &u.Servers}, {"list_changes", &u.ListChanges}, {"renewals", &u.Renewals},
+// all returns the unknown parameters in the order of the file.
+func (u *Unknowns) all() []keyedUnknown {
+	return []keyedUnknown{{"servers", &u.Servers}, {"list_changes", &u.ListChanges}, {"renewals", &u.Renewals},
 		{"settings_bytes", &u.SettingsBytes}, {"keys", &u.Keys}, {"sessions_per_group", &u.SessionsPerGroup},
 		{"probes", &u.Probes}, {"return_rate", &u.ReturnRate}, {"rack", &u.Rack}}
 }
 
-// ReadSize reads a size file. Its errors tell the line.
+// ReadSize reads and checks a size file. Its errors name the file and the line.
 func ReadSize(name string) (*Size, error) {
 	size := &Size{}
 	file, err := strict.Read(name, size)
@@ -105,11 +105,11 @@
 	return size, nil
 }
 
-// Case is a size with each unknown parameter at one of its two values.
+// Case is a size with each unknown parameter set to one of its two values.
 type Case struct {
 	*Size
 	Name             string
-	Servers          float64
+	Servers          float64 // in the list of servers
 	ListChanges      float64 // a second
 	Renewals         float64 // a second, for each connection
 	SettingsBytes    float64
@@ -120,40 +120,41 @@
 	Rack             float64 // proxies
 }
 
-// Cases are the two columns of the table.
+// Cases returns the two columns of the table: all unknown parameters low, and all high.
 func (s *Size) Cases() [2]*Case {
-	at := func(name string, value func(Unknown) float64) *Case {
+	newCase := func(name string, value func(Unknown) float64) *Case {
 		u := &s.Unknown
 		return &Case{Size: s, Name: name, Servers: value(u.Servers), ListChanges: value(u.ListChanges) / secondsInDay,
 			Renewals: value(u.Renewals) / time.Hour.Seconds(), SettingsBytes: value(u.SettingsBytes), Keys: value(u.Keys),
 			SessionsPerGroup: value(u.SessionsPerGroup), Probes: value(u.Probes), ReturnRate: value(u.ReturnRate), Rack: value(u.Rack)}
 	}
-	return [2]*Case{at("low", func(u Unknown) float64 { return u.Low }), at("high", func(u Unknown) float64 { return u.High })}
+	return [2]*Case{newCase("low", func(u Unknown) float64 { return u.Low }), newCase("high", func(u Unknown) float64 { return u.High })}
 }
 
-// ConnectionsEach is how many connections a proxy holds on the mean.
-func (s *Size) ConnectionsEach() float64 { return s.Connections / s.Proxies }
+// ConnectionsPerProxy returns how many connections a proxy holds on average.
+func (s *Size) ConnectionsPerProxy() float64 { return s.Connections / s.Proxies }
 
-// DeliveriesEach is how many deliveries a proxy passes in a second.
-func (s *Size) DeliveriesEach() float64 { return s.Deliveries / s.Proxies }
+// DeliveriesPerProxy returns how many deliveries a proxy passes on per second.
+func (s *Size) DeliveriesPerProxy() float64 { return s.Deliveries / s.Proxies }
 
-// ChangesEach is how many changes of configuration there are in a second.
-func (s *Size) ChangesEach() float64 { return s.Changes / secondsInDay }
+// ChangesPerSecond returns how many changes of configuration there are per second.
+func (s *Size) ChangesPerSecond() float64 { return s.Changes / secondsInDay }
 
-// BytesWithin is what a proxy may take for control in the time in which a change is to be in force.
-func (s *Size) BytesWithin() float64 { return s.ControlBytes * s.ChangedWithin.D().Seconds() }
+// BytesWithinChangeTime returns how many bytes a proxy may receive for control within ChangedWithin.
+func (s *Size) BytesWithinChangeTime() float64 { return s.ControlBytes * s.ChangedWithin.D().Seconds() }
 
-// ProxiesToMachine is how many proxies there are for each machine that is set aside.
-func (s *Size) ProxiesToMachine() float64 { return s.Proxies / s.ControlMachines }
+// ProxiesPerControlMachine returns the number of proxies for each control machine.
+func (s *Size) ProxiesPerControlMachine() float64 { return s.Proxies / s.ControlMachines }
 
-// MachineBytes is what each such machine sends in a second if they alone feed the proxies all they may take.
-func (s *Size) MachineBytes() float64 { return s.ProxiesToMachine() * s.ControlBytes }
+// ControlMachineBytes returns how many bytes per second each control machine sends if these machines alone supply the proxies
+// with all the bytes that these may receive for control.
+func (s *Size) ControlMachineBytes() float64 { return s.ProxiesPerControlMachine() * s.ControlBytes }
 
-// MemoryBytes is what control may take of a proxy's memory.
-func (s *Size) MemoryBytes() float64 { return s.ControlMemoryMB * (1 << 20) }
+// ControlMemoryBytes returns how much of a proxy's memory control may use.
+func (s *Size) ControlMemoryBytes() float64 { return s.ControlMemoryMB * (1 << 20) }
 
-// SessionsEach is how many sessions a proxy takes in a second on an ordinary day.
-func (c *Case) SessionsEach() float64 { return c.ConnectionsEach() * c.Renewals }
+// SessionsPerSecond returns how many sessions begin on a proxy per second on an ordinary day.
+func (c *Case) SessionsPerSecond() float64 { return c.ConnectionsPerProxy() * c.Renewals }
 
-// String names the case.
+// String returns the name of the case and its number of servers.
 func (c *Case) String() string { return fmt.Sprintf("%s (%.0f servers)", c.Name, c.Servers) }
