--- a/cmd/stallwatch/main.go
+++ b/cmd/stallwatch/main.go
@@ -165,10 +165,10 @@
 		usedBefore[thread.ID] = thread.Used
 	}
 	current, _ := stall.ReadThreads(pid)
-	id, most := pid, time.Duration(0)
+	id, mostUsed := pid, time.Duration(0)
 	for _, thread := range current {
-		if used := thread.Used - usedBefore[thread.ID]; used > most {
-			id, most = thread.ID, used
+		if used := thread.Used - usedBefore[thread.ID]; used > mostUsed {
+			id, mostUsed = thread.ID, used
 		}
 	}
 	return id
--- a/internal/capacity/aggregation.go
+++ b/internal/capacity/aggregation.go
@@ -38,7 +38,7 @@
 // aggregator there.
 func membersPerAggregator(c *Case) float64 { return c.Proxies / c.Regions }
 
-func aggregation() Role {
+func aggregationRole() Role {
 	return Role{
 		Name: "Counts over the fleet: aggregators", Mechanism: "two aggregators in each region, without election; reports, region sums and digests at constant rates",
 		Notes: []string{"Benchmarks measure the logic without sockets and encoding; what a member takes with them is measured by the scale run, as far as it has gone. One turn is until each key was sent once; what has changed by more than a tenth goes before its turn."},
@@ -82,7 +82,7 @@
 	}
 }
 
-func controlMachines() Role {
+func controlMachinesRole() Role {
 	return Role{
 		Name: "The machines set aside for control", Mechanism: "aggregators, two in each region; nothing else of the program runs there",
 		Quantities: []Quantity{
--- a/internal/capacity/failures.go
+++ b/internal/capacity/failures.go
@@ -12,18 +12,18 @@
 // Failures returns the roles' costs during failures and restarts, in the order of the page.
 func Failures() []Role {
 	return []Role{
-		reconnects(proxyLoss{"A proxy's machine fails", "on an ordinary day, see the size", func(*Case) float64 { return 1 },
+		reconnectRole(proxyLoss{"A proxy's machine fails", "on an ordinary day, see the size", func(*Case) float64 { return 1 },
 			"The front deals its clients out to the others once probes have failed. With flat counts its numbers count in full for 5 s and fade over 10 s more; the others do nothing else."}),
-		restarts(),
-		reconnects(proxyLoss{"A rack or a switch", "every week", func(c *Case) float64 { return c.Rack },
+		restartsRole(),
+		reconnectRole(proxyLoss{"A rack or a switch", "every week", func(c *Case) float64 { return c.Rack },
 			"As for one machine. Servers in the rack are listed as gone; until a proxy has the list, dials to them fail and go elsewhere."}),
-		zoneLoss(),
-		regionsApart(),
+		zoneLossRole(),
+		regionsApartRole(),
 	}
 }
 
-// reconnects returns the cost, for the remaining proxies, of the clients of lost proxies that connect again.
-func reconnects(loss proxyLoss) Role {
+// reconnectRole returns the cost, for the remaining proxies, of the clients of lost proxies that connect again.
+func reconnectRole(loss proxyLoss) Role {
 	return Role{Name: loss.name, Mechanism: "the front's probes and clients that come again", Notes: []string{"How often: " + loss.frequency + ".", "Meanwhile: " + loss.meanwhile},
 		Quantities: reconnectRows(loss.proxies)}
 }
@@ -47,7 +47,7 @@
 	}
 }
 
-func restarts() Role {
+func restartsRole() Role {
 	perSecond := func(c *Case) float64 { return c.Restarts / secondsInDay }
 	return Role{
 		Name: "Restarts and replacements on an ordinary day", Mechanism: "SIGTERM hands sessions on; last known list, whole list by the watch; none for names that go",
@@ -74,9 +74,9 @@
 	}
 }
 
-func zoneLoss() Role {
+func zoneLossRole() Role {
 	proxies := func(c *Case) float64 { return c.Proxies / c.Zones }
-	role := reconnects(proxyLoss{"A zone is lost", "every other month", proxies,
+	role := reconnectRole(proxyLoss{"A zone is lost", "every other month", proxies,
 		"The proxies that are left place what comes by their last list; servers of the zone that the list still has are dialed until it has come or their dials have failed twice. With flat counts a tenth of the members fades over 15 s."})
 	role.Quantities = append(role.Quantities,
 		Quantity{Label: "connections on each proxy that is left", Unit: Number, Computed: func(c *Case) float64 { return c.Connections / (c.Proxies - proxies(c)) }, Note: "connections / proxies left"},
@@ -98,7 +98,7 @@
 	return role
 }
 
-func regionsApart() Role {
+func regionsApartRole() Role {
 	hours := func(c *Case) float64 { return c.RegionsApart.D().Hours() }
 	missedList := func(c *Case) float64 {
 		return min(c.Servers, c.ListChanges*hours(c)*time.Hour.Seconds()/listChangesPerRestart)
@@ -109,7 +109,7 @@
 			"Meanwhile: a proxy goes on by its last list and settings. One whose discovery is on the other side asks again with growing pauses, dials servers that have gone since, and does not learn of drains. Counts of the other region grow stale: with flat counts they fade to nothing after 15 s, and figures then lack that region, which `of members heard` tells."},
 		Quantities: []Quantity{
 			{Label: "for", Unit: Seconds, Computed: func(c *Case) float64 { return c.RegionsApart.D().Seconds() }, Note: "regions_apart"},
-			{Label: "changes of configuration missed", Unit: Number, Computed: func(c *Case) float64 { return c.Changes / 24 * hours(c) }, Note: "changes a day x the time apart"},
+			{Label: "changes of configuration missed", Unit: Number, Computed: func(c *Case) float64 { return c.Changes / hoursInDay * hours(c) }, Note: "changes a day x the time apart"},
 			{Label: "servers changed that a watch resumes with", Unit: Number, Computed: missedList, Note: "each once, three changes of the list for each"},
 			{Label: "bytes to a proxy at the return", Unit: Traffic, Ceiling: changeBytesCeiling,
 				Terms: func(c *Case) []Term {
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -19,6 +19,7 @@
 	listChangesPerRestart = 3.0         // a restarted server drains, is gone, and is ready again
 	flatFadeSeconds       = 5.0 + 2*5.0 // seconds until counts have faded, by default: 5 fresh, 10 fading
 	goneServerDays        = 30.0        // the days of restarts for which the state of gone servers is computed
+	dialBudgetSeconds     = 60          // window of the budget of further dials, in seconds
 	eventLoops            = 1.0         // event loops of a proxy, each on one core at most
 )
 
@@ -46,11 +47,11 @@
 
 // Roles returns all roles on an ordinary day, in the order of the page. Each of the functions below returns one role.
 func Roles() []Role {
-	return []Role{connections(), placement(), listOnProxy(), discoverySide(), settings(), flatCounts(), ownSessionSum(), aggregation(),
-		budgets(), probes(), logs(), controlMachines()}
+	return []Role{connectionsRole(), placementRole(), listOnProxyRole(), discoverySideRole(), settingsRole(), flatCountsRole(),
+		ownSessionSumRole(), aggregationRole(), budgetsRole(), probesRole(), logsRole(), controlMachinesRole()}
 }
 
-func connections() Role {
+func connectionsRole() Role {
 	return Role{
 		Name: "Client connections on a proxy", Mechanism: "one event loop, one table of sessions; the front deals connections out",
 		Notes: []string{"Not control: these are a proxy's own sessions. Memory and processor time are those of a real process on loopback; a *message* there is a client's line with its answer, so two lines passed, and a delivery, which is one line, costs less."},
@@ -76,7 +77,7 @@
 	}
 }
 
-func placement() Role {
+func placementRole() Role {
 	return Role{
 		Name: "Placement (the module)", Mechanism: "weighted rendezvous hashing over all ready servers, each proxy by itself",
 		Quantities: []Quantity{
@@ -101,7 +102,7 @@
 	}
 }
 
-func listOnProxy() Role {
+func listOnProxyRole() Role {
 	return Role{
 		Name: "The list of servers on a proxy", Mechanism: "delta watch over HTTP with resume by revision, heartbeat each 2 s, last known list in the configuration",
 		Quantities: []Quantity{
@@ -142,7 +143,7 @@
 	}
 }
 
-func discoverySide() Role {
+func discoverySideRole() Role {
 	return Role{
 		Name: "Discovery's side of the list", Mechanism: "one answer for each watch and change",
 		Notes: []string{"Measured on the stand-in of `internal/standin/list`; the operators' discovery is another program. As if the control machines served the list and nothing else."},
@@ -169,7 +170,7 @@
 	}
 }
 
-func settings() Role {
+func settingsRole() Role {
 	return Role{
 		Name: "Settings and their changes", Mechanism: "on a proxy: the whole file checked and taken over at SIGHUP; from where a change is made to the proxies: **none**",
 		Quantities: []Quantity{
@@ -193,7 +194,7 @@
 	}
 }
 
-func flatCounts() Role {
+func flatCountsRole() Role {
 	return Role{
 		Name: "Counts over the fleet, before: flat", Mechanism: "each member keeps each other's counts; datagrams to four members in turn",
 		Notes: []string{"The mechanism as it stood when this page was begun. Its rows stay for comparison, with the commit at which they were measured."},
@@ -228,7 +229,7 @@
 	}
 }
 
-func ownSessionSum() Role {
+func ownSessionSumRole() Role {
 	return Role{
 		Name: "The sum over a proxy's own sessions", Mechanism: "a walk over all open sessions once a second, on the event loop, that counts anew only what has changed (with `--fleet` only)",
 		Notes: []string{"*Before* is the walk that counted all sessions anew each second; its rows stay for comparison."},
@@ -251,7 +252,7 @@
 	}
 }
 
-func budgets() Role {
+func budgetsRole() Role {
 	return Role{
 		Name: "Cold-start and dial budgets", Mechanism: "turns by rendezvous hash of server and frame, each proxy a place of its own; dials beyond the first by each proxy's own sessions",
 		Notes: []string{"The number of proxies is a setting (`groupSize`): a proxy that joins or leaves is a change of settings at all others."},
@@ -261,9 +262,13 @@
 			{Label: "share of its usual sessions that its turns allow while the server is cold", Unit: Share,
 				Terms: func(c *Case) []Term { return []Term{termAt(coldTurnsBenchmark(c)+".allowed-share", c.Proxies)} }},
 			{Label: "budget of further dials: state, a minute's sessions", Unit: Bytes, Ceiling: controlMemoryCeiling, Part: controlMemory,
-				Terms: func(c *Case) []Term { return []Term{termAt("DialBudget.held-B", 60*c.SessionsPerSecond())} }},
+				Terms: func(c *Case) []Term {
+					return []Term{termAt("DialBudget.held-B", dialBudgetSeconds*c.SessionsPerSecond())}
+				}},
 			{Label: "the same, processor time of one question", Unit: Seconds, Ceiling: deliveryTimeCeiling,
-				Terms: func(c *Case) []Term { return []Term{timeTerm("DialBudget.ns/op", 60*c.SessionsPerSecond(), 1)} }},
+				Terms: func(c *Case) []Term {
+					return []Term{timeTerm("DialBudget.ns/op", dialBudgetSeconds*c.SessionsPerSecond(), 1)}
+				}},
 		},
 	}
 }
@@ -280,7 +285,7 @@
 	return "ColdTurnsFew"
 }
 
-func probes() Role {
+func probesRole() Role {
 	return Role{
 		Name: "The front's probes", Mechanism: "a connection with PING, answered on the event loop",
 		Quantities: []Quantity{
@@ -293,7 +298,7 @@
 	}
 }
 
-func logs() Role {
+func logsRole() Role {
 	return Role{
 		Name: "Logs and metrics", Mechanism: "a line of JSON on standard output for each session that ends and each change of the list; metrics: **none**",
 		Quantities: []Quantity{
--- a/internal/capacity/size.go
+++ b/internal/capacity/size.go
@@ -10,6 +10,9 @@
 // secondsInDay converts rates per day to rates per second.
 const secondsInDay = 24 * 60 * 60
 
+// hoursInDay converts rates per day to rates per hour.
+const hoursInDay = 24
+
 // Size describes the size of a fleet and what a proxy may spend on control at it. It is read from a TOML file.
 type Size struct {
 	Proxies         float64     `toml:"proxies"`
