--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -1,4 +1,6 @@
-// Package clients is the side of the clients: what they send before a session stands, and while it does.
+// Package clients is the client side of sessions: the connections that clients open, the first line on each (OPEN or PING), and
+// the lines relayed while a session is open. It limits connections that ask for nothing, and writes a log line for each connection
+// that ends. Which server a session goes to, and what its client is answered, is decided elsewhere: see packages exchange and choice.
 package clients
 
 import (
@@ -15,239 +17,251 @@
 )
 
 const (
-	perSession = 3 // descriptors that a session needs beside its client's
+	// descriptorsPerSession is how many descriptors a session takes at most besides its client's: two while the server is being
+	// connected to, and the one that the event loop takes over from it, counted together for a moment.
+	descriptorsPerSession = 3
+	// answerTimeShare is the part of a client's waiting time, one in so many, that is set aside for the way of the OPEN line and
+	// of the answer.
+	answerTimeShare = 64
 )
 
-// Clients has what all clients share.
+// Clients is the state shared by all client connections of a proxy. It is used on the event loop only.
 type Clients struct {
 	table           *exchange.Table
 	timers          *timers.Timers
 	connectionLimit *socket.ConnectionLimit
 	now             func() time.Duration
-	hello           time.Duration // for a connection to ask for a session
-	holder          func(name []byte) choice.ServerID
-	listeners       map[string]choice.ListenerID
-	tenants         map[string]choice.TenantID
-	groups          bool
-	ids             map[string]*Client // of sessions that wait for an answer or are open
-	idle            map[*Client]bool   // those that have asked for nothing
-	delaysPings     bool               // they are not answered yet
-	delayedPings    []*Client          // the client of each
+	openTimeout     time.Duration                     // an idle connection is closed after this time
+	findHolder      func(name []byte) choice.ServerID // the server named by an OPEN line's "at"; 0 if there is none
+	listeners       map[string]choice.ListenerID      // by name
+	tenants         map[string]choice.TenantID        // by name
+	usesGroups      bool                              // sessions of one group are placed together
+	byID            map[string]*Client                // by the session's id; waiting and relaying connections
+	idleClients     map[*Client]bool                  // connections that have not asked for a session
+	holdsPings      bool                              // a PING waits for AnswerPings
+	heldPings       []*Client                         // the connection of each PING that waits
 	log             zerolog.Logger
 }
 
+// New makes the client side of a proxy. Connections that have not asked for a session within openTimeout are closed. findHolder
+// returns the server that an OPEN line names as the session's holder, or 0.
 func New(table *exchange.Table, t *timers.Timers, connectionLimit *socket.ConnectionLimit, now func() time.Duration,
-	hello time.Duration, holder func(name []byte) choice.ServerID, listeners map[string]choice.ListenerID,
-	tenants map[string]choice.TenantID, groups bool, log zerolog.Logger) *Clients {
-	return &Clients{table: table, timers: t, connectionLimit: connectionLimit, now: now, hello: hello, holder: holder,
-		listeners: listeners, tenants: tenants, groups: groups, ids: map[string]*Client{}, idle: map[*Client]bool{}, log: log}
+	openTimeout time.Duration, findHolder func(name []byte) choice.ServerID, listeners map[string]choice.ListenerID,
+	tenants map[string]choice.TenantID, usesGroups bool, log zerolog.Logger) *Clients {
+	return &Clients{table: table, timers: t, connectionLimit: connectionLimit, now: now, openTimeout: openTimeout, findHolder: findHolder,
+		listeners: listeners, tenants: tenants, usesGroups: usesGroups, byID: map[string]*Client{}, idleClients: map[*Client]bool{}, log: log}
 }
 
-// Change takes what other settings say; connections that have asked for a session go on with it.
-func (c *Clients) Change(hello time.Duration, listeners map[string]choice.ListenerID,
-	tenants map[string]choice.TenantID, groups bool) {
-	c.hello, c.listeners, c.tenants, c.groups = hello, listeners, tenants, groups
+// Reconfigure applies new settings. Connections that have asked for a session are not affected.
+func (c *Clients) Reconfigure(openTimeout time.Duration, listeners map[string]choice.ListenerID,
+	tenants map[string]choice.TenantID, usesGroups bool) {
+	c.openTimeout, c.listeners, c.tenants, c.usesGroups = openTimeout, listeners, tenants, usesGroups
 }
 
-// DelayPings has PINGs wait for AnswerPings: the front deals out connections to a proxy that has answered one, and to
-// one that starts what the list has to tell may count as told before it has come.
-func (c *Clients) DelayPings() { c.delaysPings = true }
+// DelayPings holds the answers to PINGs back until AnswerPings is called. A load balancer in front of the proxies sends
+// connections to a proxy as soon as it has answered a PING; a proxy that has just started must not take any before it has the list
+// of servers, as the list may count as delivered to it before it has arrived.
+func (c *Clients) DelayPings() { c.holdsPings = true }
 
-// AnswerPings answers those that wait, and others at once from now on.
+// AnswerPings answers all PINGs that wait, and has later ones answered at once.
 func (c *Clients) AnswerPings() {
-	c.delaysPings = false
-	for _, client := range c.delayedPings {
-		client.waitsToAsk()
-		client.pong()
+	c.holdsPings = false
+	for _, client := range c.heldPings {
+		client.restartIdleTimer()
+		client.sendPong()
 	}
-	c.delayedPings = nil
+	c.heldPings = nil
 }
 
-// Idle is how many connections have asked for nothing.
-func (c *Clients) Idle() int { return len(c.idle) }
+// IdleCount returns the number of connections that have not asked for a session.
+func (c *Clients) IdleCount() int { return len(c.idleClients) }
 
-// Dismiss ends those in good order.
-func (c *Clients) Dismiss() {
-	for client := range c.idle { // each stands for itself, in any order
-		client.dismiss()
+// CloseIdle gracefully closes all connections that have not asked for a session.
+func (c *Clients) CloseIdle() {
+	for client := range c.idleClients { // the order doesn't matter: connections are independent
+		client.closeIdle()
 	}
 }
 
 type state int
 
 const (
-	idle   state = iota // nothing has been asked
-	waits               // for its answer
-	passes              // lines pass
-	over
+	idle     state = iota // has not asked for a session
+	waiting               // has asked for a session and waits for the answer
+	relaying              // the session is open
+	ended
 )
 
-// Client is one connection of a client.
+// Client is one connection of a client. It implements exchange.Client and socket.Owner.
 type Client struct {
-	clients       *Clients
-	conn          *socket.Conn
-	state         state
-	ex            *exchange.Exchange
-	opening       *line.Open // of the session asked for
-	id            string     // that it gave its session
-	since         time.Duration
-	establishedAt time.Duration // since when lines pass
-	idle          *timers.Timer
-	spare         *list.Element // while nothing has been asked
-	pings         int
+	clients     *Clients
+	conn        *socket.Conn
+	state       state
+	session     *exchange.Session
+	openLine    *line.Open // nil before the OPEN line
+	id          string     // of the session, from the OPEN line
+	connectedAt time.Duration
+	openedAt    time.Duration // when the session was opened; 0 before
+	idleTimer   *timers.Timer
+	spareEntry  *list.Element // in the connection limit, while idle
+	pingCount   int           // PINGs received
 }
 
-// New makes the side for a connection that is about to be taken over.
+// New makes the client side of a connection that was just accepted. SetConn must be called next.
 func (c *Clients) New() *Client {
-	client := &Client{clients: c, since: c.now()}
-	client.waitsToAsk()
-	c.idle[client] = true
-	client.spare = c.connectionLimit.Spare(func() { client.drop("crowded-out") })
+	client := &Client{clients: c, connectedAt: c.now()}
+	client.restartIdleTimer()
+	c.idleClients[client] = true
+	client.spareEntry = c.connectionLimit.AddSpare(func() { client.drop("crowded-out") })
 	return client
 }
 
-// waitsToAsk guards against clients that connect and say nothing, or never end a line: each holds a descriptor.
-func (c *Client) waitsToAsk() {
-	c.clients.timers.Stop(c.idle)
+// restartIdleTimer has the connection closed after openTimeout if it is still idle then. Clients that connect and send nothing,
+// or never end a line, would otherwise hold their descriptors for good.
+func (c *Client) restartIdleTimer() {
+	c.clients.timers.Stop(c.idleTimer)
 	if c.state == idle {
-		c.idle = c.clients.timers.After(c.clients.hello, c.dismiss)
+		c.idleTimer = c.clients.timers.After(c.clients.openTimeout, c.closeIdle)
 	}
 }
 
-// dismiss ends in good order what has asked for nothing: a line that crosses the answer costs the client nothing.
-func (c *Client) dismiss() {
+// closeIdle gracefully closes the connection if it is idle. An OPEN line that crosses the BUSY on its way has had no effect, so
+// the client may retry it.
+func (c *Client) closeIdle() {
 	if c.state == idle {
-		c.Answer([]byte("BUSY\r\n"), "idle")
+		c.Finish([]byte("BUSY\r\n"), "idle")
 	}
 }
 
-// drop ends at once what has asked for nothing.
+// drop closes the connection at once if it is idle, to free its descriptor.
 func (c *Client) drop(reason string) {
 	if c.state == idle {
-		c.logEnd(socket.Finished, reason)
+		c.recordEnd(socket.Finished, reason)
 		c.conn.Drop([]byte("BUSY\r\n"))
 	}
 }
 
-// Admit makes room for a connection that has just come, or turns it away: it could not be read any more without
-// risk to all others.
+// Admit frees a descriptor for the new connection if they run short, or drops the connection if the limit is exceeded: serving
+// it would put all other connections at risk.
 func (c *Client) Admit() {
-	if c.clients.connectionLimit.Relieve(); c.clients.connectionLimit.Free() < 0 {
+	if c.clients.connectionLimit.EvictSpare(); c.clients.connectionLimit.Free() < 0 {
 		c.drop("no-room")
 	}
 }
 
-// Serve names the connection.
-func (c *Client) Serve(conn *socket.Conn) { c.conn = conn }
+// SetConn sets the connection that this is the client side of.
+func (c *Client) SetConn(conn *socket.Conn) { c.conn = conn }
 
-// Read takes whole lines.
+// Read implements socket.Owner: it handles the whole lines in the buffer.
 func (c *Client) Read(buf []byte) int {
 	used := 0
 	for c.state == idle {
 		text, size, err := line.Next(buf[used:])
 		if err != nil {
-			c.wrong(err)
+			c.reject(err)
 		}
 		if size == 0 {
 			break
 		}
 		used += size
-		c.first(text, len(buf) > used)
+		c.handleFirstLine(text, len(buf) > used)
 	}
 	switch c.state {
-	case waits:
-		if len(buf) > used { // it was to wait for its answer
-			c.ended(socket.Finished)
-			c.wrong(line.ErrMalformed)
+	case waiting:
+		if len(buf) > used { // a client must not send anything before its answer
+			c.endSession(socket.Finished)
+			c.reject(line.ErrMalformed)
 		}
-	case passes:
-		used += c.pass(buf[used:])
+	case relaying:
+		used += c.relay(buf[used:])
 	}
-	if c.state == over {
+	if c.state == ended {
 		return len(buf)
 	}
 	return used
 }
 
-// wrong answers what cannot be read.
-func (c *Client) wrong(err error) {
+// reject closes the connection over a malformed line.
+func (c *Client) reject(err error) {
 	c.clients.log.Debug().Err(err).Msg("a client's line is refused")
-	c.Answer([]byte("ERR\r\n"), "malformed")
+	c.Finish([]byte("ERR\r\n"), "malformed")
 }
 
-// first takes the line that a connection begins with; more tells that something has come behind it.
-func (c *Client) first(text []byte, more bool) {
-	if string(text) == "PING" { // as many as it likes: the connection ends unless it asks for a session soon
-		c.pings++
-		if c.clients.delaysPings { // it is this proxy that lets it wait
-			c.clients.timers.Stop(c.idle)
-			c.clients.delayedPings = append(c.clients.delayedPings, c)
+// handleFirstLine handles a line of an idle connection. hasMore is set if more bytes follow it in the buffer.
+func (c *Client) handleFirstLine(text []byte, hasMore bool) {
+	if string(text) == "PING" { // their number needs no limit: the idle timer ends the connection
+		c.pingCount++
+		if c.clients.holdsPings { // the idle timer stops: it is this proxy that keeps the client waiting
+			c.clients.timers.Stop(c.idleTimer)
+			c.clients.heldPings = append(c.clients.heldPings, c)
 			return
 		}
-		c.pong()
+		c.sendPong()
 		return
 	}
-	opening, err := line.ParseOpen(text)
+	openLine, err := line.ParseOpen(text)
 	if err != nil {
-		c.wrong(err)
+		c.reject(err)
 		return
 	}
-	listener, known := c.clients.listeners[string(opening.Listener)]
-	tenant, usual := c.clients.tenants[string(opening.Tenant)]
-	if !known || more || !usual && opening.Tenant != nil {
-		c.wrong(line.ErrMalformed)
+	listener, isListenerKnown := c.clients.listeners[string(openLine.Listener)]
+	tenant, isTenantKnown := c.clients.tenants[string(openLine.Tenant)]
+	if !isListenerKnown || hasMore || !isTenantKnown && openLine.Tenant != nil {
+		c.reject(line.ErrMalformed)
 		return
 	}
-	// An id is new with every connection, but for packets that the front sends through another proxy for a while.
-	if c.clients.ids[string(opening.ID)] != nil && !opening.MidFlow {
-		c.Answer([]byte("ERR\r\n"), "id-in-use")
+	// Each connection uses a new id, except for a session in mid-flow whose packets a load balancer in front of the proxies sends
+	// to another proxy for a while.
+	if c.clients.byID[string(openLine.ID)] != nil && !openLine.MidFlow {
+		c.Finish([]byte("ERR\r\n"), "id-in-use")
 		return
 	}
-	if c.clients.connectionLimit.Free() < perSession { // it could not be sent anywhere
-		c.Answer([]byte("BUSY\r\n"), "no-room")
+	if c.clients.connectionLimit.Free() < descriptorsPerSession { // no server could be dialed
+		c.Finish([]byte("BUSY\r\n"), "no-room")
 		return
 	}
-	a := choice.Arrival{Listener: listener, Tenant: tenant,
-		TimeLeft: opening.Remaining - opening.Remaining/64, // some of it is gone by now, and the answer needs some
-		Load:     opening.Load / 1000, Client: choice.Key(line.NumericKey(opening.Key)), MidFlow: opening.MidFlow,
-		Reconnected: opening.Returned}
-	if c.clients.groups {
-		a.Group = choice.Key(line.NumericKey(opening.Group))
+	arrival := choice.Arrival{Listener: listener, Tenant: tenant,
+		TimeLeft: openLine.Remaining - openLine.Remaining/answerTimeShare,
+		Load:     openLine.Load / 1000, Client: choice.Key(line.NumericKey(openLine.Key)), MidFlow: openLine.MidFlow,
+		Reconnected: openLine.Returned}
+	if c.clients.usesGroups {
+		arrival.Group = choice.Key(line.NumericKey(openLine.Group))
 	}
 	var holder choice.ServerID
-	if opening.Holder != nil {
-		holder = c.clients.holder(opening.Holder)
-	}
-	c.state, c.id = waits, string(opening.ID)
-	c.clients.ids[c.id] = c
-	c.asked()
-	c.opening = &opening // good while its text is; the answer may come at once
-	c.ex = c.clients.table.Begin(c, a, text, holder)
-	c.opening = c.ex.Opening()
+	if openLine.Holder != nil {
+		holder = c.clients.findHolder(openLine.Holder)
+	}
+	c.state, c.id = waiting, string(openLine.ID)
+	c.clients.byID[c.id] = c
+	c.leaveIdle()
+	c.openLine = &openLine // refers to the read buffer; needed for the log if StartSession ends the connection at once
+	c.session = c.clients.table.StartSession(c, arrival, text, holder)
+	c.openLine = c.session.OpenLine()
 }
 
-func (c *Client) pong() {
+// sendPong answers a PING if the connection is still idle.
+func (c *Client) sendPong() {
 	if c.state == idle {
 		c.conn.Write([]byte("PONG\r\n"))
 	}
 }
 
-// asked takes the connection from those that have asked for nothing.
-func (c *Client) asked() {
-	c.clients.timers.Stop(c.idle)
-	c.clients.connectionLimit.Keep(c.spare)
-	c.spare = nil
-	delete(c.clients.idle, c)
+// leaveIdle ends the idle state: it stops the idle timer and takes the connection off the lists of idle and spare ones.
+func (c *Client) leaveIdle() {
+	c.clients.timers.Stop(c.idleTimer)
+	c.clients.connectionLimit.RemoveSpare(c.spareEntry)
+	c.spareEntry = nil
+	delete(c.clients.idleClients, c)
 }
 
-// pass hands all whole lines on at once.
-func (c *Client) pass(buf []byte) int {
+// relay passes all whole lines in the buffer on to the session, in one call.
+func (c *Client) relay(buf []byte) int {
 	used, n := 0, 0
 	for {
 		_, size, err := line.Next(buf[used:])
 		if err != nil {
-			c.ended(socket.Finished)
-			c.wrong(err)
+			c.endSession(socket.Finished)
+			c.reject(err)
 			return len(buf)
 		}
 		if size == 0 {
@@ -257,25 +271,26 @@
 		n++
 	}
 	if n > 0 {
-		c.ex.FromClient(buf[:used], n)
+		c.session.RelayFromClient(buf[:used], n)
 	}
 	return used
 }
 
-func (c *Client) ended(how socket.End) {
-	if c.ex != nil {
-		c.ex.ClientEnded(how)
+// endSession ends the connection's session, if it has one.
+func (c *Client) endSession(how socket.End) {
+	if c.session != nil {
+		c.session.HandleClientEnd(how)
 	}
 }
 
-// Ended tells that the client has ended the connection, or that it is broken. A client behind one that is broken may be
-// well, and gets its last line.
-func (c *Client) Ended(how socket.End) {
-	if c.state == over {
+// HandleEnd implements socket.Owner: the client has ended the connection, or the network has broken it. In the second case the
+// client may still be there, so it is sent a last line.
+func (c *Client) HandleEnd(how socket.End) {
+	if c.state == ended {
 		return
 	}
 	if how == socket.Broken {
-		c.broken()
+		c.handleBroken()
 		return
 	}
 	reason := "client-left"
@@ -283,91 +298,95 @@
 		reason = "unused"
 	}
 	c.End(how, reason)
-	c.ended(how)
+	c.endSession(how)
 }
 
-// broken ends a connection that is broken, with the answer that its state is due.
-func (c *Client) broken() {
+// handleBroken ends a connection that the network has broken, with the last line that fits its state.
+func (c *Client) handleBroken() {
 	switch c.state {
 	case idle:
-		c.Answer(line.FormatBusy(0), "client-broken")
-	case waits:
-		last := []byte("ERR\r\n")
-		if c.ex != nil { // it is not there yet while the module places the session
-			last = c.ex.FailureLine()
+		c.Finish(line.FormatBusy(0), "client-broken")
+	case waiting:
+		lastLine := []byte("ERR\r\n")
+		if c.session != nil { // it is nil while StartSession runs
+			lastLine = c.session.FailureLine()
 		}
-		c.ended(socket.Reset)
-		c.Answer(last, "client-broken")
-	case passes:
-		c.ex.ClientBroken()
+		c.endSession(socket.Reset)
+		c.Finish(lastLine, "client-broken")
+	case relaying:
+		c.session.HandleClientBroken()
 	}
 }
 
-// Gone tells whether the client no longer waits for its answer, as its machine knows it.
-func (c *Client) Gone() bool { return c.state != waits || c.conn.Peer() != socket.Waits }
+// HasStoppedWaiting implements exchange.Client. It asks the kernel, which may know more than the event loop has read.
+func (c *Client) HasStoppedWaiting() bool {
+	return c.state != waiting || c.conn.PeerState() != socket.PeerWaiting
+}
 
-// Waits tells whether the client still waits for its answer, as its machine knows it. What the loop would find when
-// it comes to read is done at once.
-func (c *Client) Waits() bool {
-	if c.state != waits {
+// EnsureWaiting implements exchange.Client. It asks the kernel, and handles at once what the event loop would find when it next
+// reads.
+func (c *Client) EnsureWaiting() bool {
+	if c.state != waiting {
 		return false
 	}
-	switch c.conn.Peer() {
-	case socket.Left:
-		c.Ended(socket.Finished)
-	case socket.PathFailed:
-		c.Ended(socket.Broken)
-	case socket.Speaks: // it was to wait
-		c.ended(socket.Finished)
-		c.wrong(line.ErrMalformed)
+	switch c.conn.PeerState() {
+	case socket.PeerLeft:
+		c.HandleEnd(socket.Finished)
+	case socket.PeerPathFailed:
+		c.HandleEnd(socket.Broken)
+	case socket.PeerSent: // a client must not send anything before its answer
+		c.endSession(socket.Finished)
+		c.reject(line.ErrMalformed)
 	}
-	return c.state == waits
+	return c.state == waiting
 }
 
+// Write implements exchange.Client.
 func (c *Client) Write(lines []byte) { c.conn.Write(lines) }
 
-// Up lets lines pass; some may have come already.
-func (c *Client) Up() {
-	if c.state == waits {
-		c.state, c.establishedAt = passes, c.clients.now()
-		c.conn.Again()
+// StartRelay implements exchange.Client. Lines may be in the read buffer already.
+func (c *Client) StartRelay() {
+	if c.state == waiting {
+		c.state, c.openedAt = relaying, c.clients.now()
+		c.conn.ReadAgain()
 	}
 }
 
-// Answer sends a last line and ends the connection in good order.
-func (c *Client) Answer(last []byte, reason string) {
-	if c.state != over {
-		c.logEnd(socket.Finished, reason)
-		c.conn.Finish(last)
+// Finish implements exchange.Client: it sends a last line and closes the connection gracefully.
+func (c *Client) Finish(lastLine []byte, reason string) {
+	if c.state != ended {
+		c.recordEnd(socket.Finished, reason)
+		c.conn.Finish(lastLine)
 	}
 }
 
+// End implements exchange.Client.
 func (c *Client) End(how socket.End, reason string) {
-	if c.state != over {
-		c.logEnd(how, reason)
+	if c.state != ended {
+		c.recordEnd(how, reason)
 		c.conn.EndAs(how)
 	}
 }
 
-// logEnd leaves the line about a connection that ends.
-func (c *Client) logEnd(how socket.End, reason string) {
-	c.state = over
-	c.asked()
-	if c.clients.ids[c.id] == c {
-		delete(c.clients.ids, c.id)
+// recordEnd sets the connection's state to ended, takes it off all lists and writes its log line. The caller ends the socket.
+func (c *Client) recordEnd(how socket.End, reason string) {
+	c.state = ended
+	c.leaveIdle()
+	if c.clients.byID[c.id] == c {
+		delete(c.clients.byID, c.id)
 	}
-	if reason == "unused" && c.pings > 0 {
+	if reason == "unused" && c.pingCount > 0 {
 		reason = "ping"
 	}
 	e := c.clients.log.Info().Str("side", "client").Str("reason", reason).Stringer("end", how).
-		Dur("ms", c.clients.now()-c.since)
+		Dur("ms", c.clients.now()-c.connectedAt)
 	if err := c.conn.Err(); err != nil {
 		e = e.AnErr("cause", err)
 	}
 	if c.id != "" {
 		e = e.Str("id", c.id)
 	}
-	if o := c.opening; o != nil { // what a trace is made of
+	if o := c.openLine; o != nil { // fields from which a trace of the sessions can be rebuilt
 		e = e.Bytes("listener", o.Listener).Bytes("key", o.Key).Dur("wait_ms", o.Remaining)
 		if o.Tenant != nil {
 			e = e.Bytes("title", o.Tenant)
@@ -378,8 +397,8 @@
 		if o.Returned {
 			e = e.Bool("returned", true)
 		}
-		if c.establishedAt > 0 {
-			e = e.Dur("up_ms", c.establishedAt-c.since)
+		if c.openedAt > 0 {
+			e = e.Dur("up_ms", c.openedAt-c.connectedAt)
 		}
 	}
 	e.Send()
--- a/internal/exchange/delays.go
+++ b/internal/exchange/delays.go
@@ -6,105 +6,114 @@
 	"chalkferry/choice"
 )
 
-// Delays turns what messages take into notes at the pace of the wire: one a span and server while it is over
-// the mark, and one more when it is back under.
-type Delays struct {
-	balancer *choice.Balancer
-	mark     time.Duration
-	span     time.Duration
-	servers  map[choice.ServerID]noted
+// DelayTracker decides which message delays are recorded in the Balancer, and tells delays from loads in LOAD lines. While a
+// server's delays are over a threshold it records one per interval, the pace at which servers report delays themselves, and one
+// more once they are back under the threshold.
+type DelayTracker struct {
+	balancer        *choice.Balancer
+	reportThreshold time.Duration // a third of the shortest message target; longer delays are recorded
+	reportInterval  time.Duration // at most one long delay is recorded per server and interval; also the period of servers' reports
+	lastReports     map[choice.ServerID]delayReport
 
-	tellsLoad, tellsDelay bool
-	beats                 map[choice.ServerID]time.Duration // within a span, of the delays that a server tells
+	// Whether LOAD lines carry the load of a session, the message delay of a server, or both.
+	reportsLoad, reportsDelay bool
+	// reportPhases has the time within an interval at which a server reports delays, where its lines carry both.
+	reportPhases map[choice.ServerID]time.Duration
 }
 
-type noted struct {
-	at   time.Duration
-	over bool
+// delayReport is the last delay that was recorded for a server.
+type delayReport struct {
+	recordedAt time.Duration
+	isOver     bool // the delay was over the threshold
 }
 
-func NewDelays(mark, span time.Duration, tellsLoad, tellsDelay bool) *Delays {
-	return &Delays{mark: mark, span: span, servers: map[choice.ServerID]noted{}, tellsLoad: tellsLoad,
-		tellsDelay: tellsDelay, beats: map[choice.ServerID]time.Duration{}}
+// NewDelayTracker makes a tracker that records delays over reportThreshold, at most one per server and reportInterval. The flags
+// say what the LOAD lines of servers carry.
+func NewDelayTracker(reportThreshold, reportInterval time.Duration, reportsLoad, reportsDelay bool) *DelayTracker {
+	return &DelayTracker{reportThreshold: reportThreshold, reportInterval: reportInterval, lastReports: map[choice.ServerID]delayReport{}, reportsLoad: reportsLoad,
+		reportsDelay: reportsDelay, reportPhases: map[choice.ServerID]time.Duration{}}
 }
 
-// change takes what other settings say; beats are those of servers that tell both.
-func (d *Delays) change(mark time.Duration, tellsLoad, tellsDelay bool) {
-	d.mark, d.tellsLoad, d.tellsDelay = mark, tellsLoad, tellsDelay
-	clear(d.beats)
+// reconfigure applies new settings. Phases are dropped: they hold only for servers whose lines carry loads and delays.
+func (d *DelayTracker) reconfigure(reportThreshold time.Duration, reportsLoad, reportsDelay bool) {
+	d.reportThreshold, d.reportsLoad, d.reportsDelay = reportThreshold, reportsLoad, reportsDelay
+	clear(d.reportPhases)
 }
 
 const (
-	mostDelay = 10 // spans that a server may tell as a delay
-	offBeat   = 64 // a note may be off its beat by the span over this
+	// maxDelayIntervals is the longest delay, in report intervals, that a LOAD line may carry; a greater number is a load.
+	maxDelayIntervals = 10
+	// phaseToleranceDivisor divides the report interval to give the most by which a report may be off its phase.
+	phaseToleranceDivisor = 64
 )
 
-// levels is what a server has told on one connection.
-type levels struct {
-	n      int
-	at     time.Duration
-	load   float64 // last told
-	before float64 // and the one before
+// loadReports is what a server has reported in LOAD lines on one connection, delays excepted.
+type loadReports struct {
+	count    int           // numbers taken for loads
+	lastAt   time.Duration // when the last one came
+	last     float64       // microseconds of work per second
+	previous float64       // the one before it
 }
 
-// isDelay tells what a LOAD line means. Servers send the load of a connection, in microseconds of work a second,
-// and the delay of their messages, in milliseconds, in the same words. A delay comes in a beat of one a span, on
-// one connection; a load comes once the session stands, and then at any time. So a number is a delay from the
-// second in a beat on, and any later one of that server on its beat.
-func (d *Delays) isDelay(now time.Duration, at choice.ServerID, l *levels, level float64) (is, newly bool) {
-	if !d.tellsDelay || !d.tellsLoad {
-		return d.tellsDelay, false
+// isDelay reports whether the number of a LOAD line is a delay. Servers send the load of a session, in microseconds of work per
+// second, and the delay of their messages, in milliseconds, in the same form. A server reports its delay once per interval,
+// all on one connection; it reports a load once the session is open, and then at any time. So the second of two numbers that are
+// about one interval apart is a delay, as is any later number of that server at the same phase of the interval. isPhaseNew is
+// set if the phase has just been found, which means that the connection's previous number was a delay too.
+func (d *DelayTracker) isDelay(now time.Duration, server choice.ServerID, reports *loadReports, level float64) (isDelay, isPhaseNew bool) {
+	if !d.reportsDelay || !d.reportsLoad {
+		return d.reportsDelay, false
 	}
-	most := mostDelay * float64(d.span/time.Millisecond)
-	if l.n == 0 || level > most {
+	maxLevel := maxDelayIntervals * float64(d.reportInterval/time.Millisecond)
+	if reports.count == 0 || level > maxLevel {
 		return false, false
 	}
-	if beat, known := d.beats[at]; known && d.near(now-beat) {
+	if phase, known := d.reportPhases[server]; known && d.isNearMultiple(now-phase) {
 		return true, false
 	}
-	if gap := now - l.at; l.n > 1 && l.load <= most && gap < d.span*3/2 && d.near(gap) {
-		d.beats[at] = now % d.span
+	if gap := now - reports.lastAt; reports.count > 1 && reports.last <= maxLevel && gap < d.reportInterval*3/2 && d.isNearMultiple(gap) {
+		d.reportPhases[server] = now % d.reportInterval
 		return true, true
 	}
 	return false, false
 }
 
-// mayBe tells whether a number that is not known to be a delay looks like a server's first: small for a load, and
-// as much as a delay grows to within a span. It counts as less than a late message: that keeps new sessions away
-// for a moment, and moves none if it was a load after all.
-func (d *Delays) mayBe(l *levels, level float64) (time.Duration, bool) {
-	took := time.Duration(level * float64(time.Millisecond))
-	return min(took, d.nearlyLate()), d.tellsDelay && d.tellsLoad && l.n > 0 && took > d.mark && took < d.span/4
+// mayBeDelay reports whether a number that is not known to be a delay looks like the first one that a server reports: small for
+// a load, and no more than a delay grows to within one interval. The delay returned is capped below the message target: it keeps
+// new sessions away from the server for a moment, and moves none if the number was a load after all.
+func (d *DelayTracker) mayBeDelay(reports *loadReports, level float64) (time.Duration, bool) {
+	delay := time.Duration(level * float64(time.Millisecond))
+	return min(delay, d.maxInTimeDelay()), d.reportsDelay && d.reportsLoad && reports.count > 0 && delay > d.reportThreshold && delay < d.reportInterval/4
 }
 
-// nearlyLate is the longest delay that is not late.
-func (d *Delays) nearlyLate() time.Duration { return 3*d.mark - time.Millisecond }
+// maxInTimeDelay returns the longest delay that is still below the message target, which is three times the threshold.
+func (d *DelayTracker) maxInTimeDelay() time.Duration { return 3*d.reportThreshold - time.Millisecond }
 
-// near tells whether a time is about a whole number of spans.
-func (d *Delays) near(t time.Duration) bool {
-	t = (t + d.span/2) % d.span
-	return (t - d.span/2).Abs() <= d.span/offBeat
+// isNearMultiple reports whether a duration is about a whole number of report intervals.
+func (d *DelayTracker) isNearMultiple(duration time.Duration) bool {
+	duration = (duration + d.reportInterval/2) % d.reportInterval
+	return (duration - d.reportInterval/2).Abs() <= d.reportInterval/phaseToleranceDivisor
 }
 
-// Seen takes what a message has taken.
-func (d *Delays) Seen(now time.Duration, at choice.ServerID, took time.Duration) {
-	last, known := d.servers[at]
-	over := took > d.mark
+// RecordAnswer takes the delay of a message that was answered, or that is still out, and records it in the Balancer where due.
+func (d *DelayTracker) RecordAnswer(now time.Duration, server choice.ServerID, delay time.Duration) {
+	last, known := d.lastReports[server]
+	isOver := delay > d.reportThreshold
 	switch {
-	case over && known && last.over && now-last.at < d.span:
+	case isOver && known && last.isOver && now-last.recordedAt < d.reportInterval:
 		return
-	case !over && !last.over:
+	case !isOver && !last.isOver:
 		return
-	case !over && now-last.at < d.span/2: // a quick message beside slow ones
+	case !isOver && now-last.recordedAt < d.reportInterval/2: // one fast message among slow ones
 		return
 	}
-	d.servers[at] = noted{now, over}
-	d.balancer.RecordServerDelay(now, at, took)
+	d.lastReports[server] = delayReport{now, isOver}
+	d.balancer.RecordServerDelay(now, server, delay)
 }
 
-// Waiting takes how long a message has been out.
-func (d *Delays) Waiting(now time.Duration, at choice.ServerID, waited time.Duration) {
-	if waited > d.mark {
-		d.Seen(now, at, waited)
+// RecordWaiting takes how long an unanswered message has been out so far; it counts only over the threshold.
+func (d *DelayTracker) RecordWaiting(now time.Duration, server choice.ServerID, waited time.Duration) {
+	if waited > d.reportThreshold {
+		d.RecordAnswer(now, server, waited)
 	}
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,5 +1,7 @@
-// Package exchange is where the client side and the server side of a session meet: it turns what either reads
-// into calls on the module, and the module's answers into lines.
+// Package exchange holds the sessions of one proxy and connects the two sides of each. It turns what the client and server
+// sides read into calls of choice.Balancer, carries out the Balancer's decisions (Dial, Refuse, Abort, Move), relays lines
+// between the sides, and derives loads and message delays from the lines that pass. It does no I/O and decides no placement:
+// sockets belong to packages clients and servers, decisions to package choice. Everything runs on the event loop.
 package exchange
 
 import (
@@ -12,45 +14,50 @@
 	"chalkferry/internal/socket"
 )
 
-// Client is the side that the session came from.
+// Client is the client's side of a session.
 type Client interface {
+	// Write sends whole lines.
 	Write(lines []byte)
-	// Up tells that lines may pass from now on.
-	Up()
-	// Answer sends a last line and ends the connection in good order.
-	Answer(last []byte, reason string)
+	// StartRelay has the client side relay lines from now on: the session is open.
+	StartRelay()
+	// Finish sends a last line and closes the connection gracefully. The reason goes into the log.
+	Finish(lastLine []byte, reason string)
+	// End ends the connection without a last line.
 	End(how socket.End, reason string)
-	// Waits tells whether the client still waits for its answer. One that has left, or speaks out of turn, is ended
-	// by it, though the event loop has not read that yet.
-	Waits() bool
-	// Gone tells the contrary of Waits, and changes nothing.
-	Gone() bool
+	// EnsureWaiting reports whether the client still waits for its answer. If it has left, or has sent something before its
+	// answer, which the event loop need not have read yet, the call ends the session.
+	EnsureWaiting() bool
+	// HasStoppedWaiting reports the opposite of EnsureWaiting, without side effects.
+	HasStoppedWaiting() bool
 }
 
-// Server is the side of one dial.
+// Server is the server's side of one dial.
 type Server interface {
+	// Write sends whole lines.
 	Write(lines []byte)
+	// End ends the dial or the open connection. The reason goes into the log.
 	End(how socket.End, reason string)
 }
 
 // Dialer starts dials.
 type Dialer interface {
-	// Dial connects to the server, sends it the session's first line and ends after the limit if nothing comes
-	// back. It returns nil where there is no room for a connection.
-	Dial(at choice.ServerID, limit time.Duration, ex *Exchange) Server
+	// Dial connects to the server and sends it the session's first line. It times out if the server has not answered within
+	// the timeout. It returns nil if the server's address is unknown or no descriptor is free.
+	Dial(server choice.ServerID, timeout time.Duration, session *Session) Server
 }
 
 type state int
 
 const (
-	placing  state = iota // with the module; no dial is out
-	resuming              // at the server that holds it from before; the module is told when it stands
-	dialing
-	open
+	placing  state = iota // the Balancer chooses a server; no dial is under way
+	resuming              // dials the server that already holds the session; the Balancer learns of it once it is open
+	dialing               // a dial of the Balancer's is under way
+	open                  // lines are relayed
 	ended
 )
 
-var mayEnter = [...][]state{
+// allowedTransitions lists, for each state, the states that may follow it.
+var allowedTransitions = [...][]state{
 	placing:  {dialing, ended},
 	resuming: {open, ended},
 	dialing:  {placing, open, ended},
@@ -58,442 +65,461 @@
 	ended:    {},
 }
 
-// Exchange is one session.
-type Exchange struct {
-	table    *Table
-	arrival  choice.Arrival
-	opening  line.Open
-	text     []byte        // of the OPEN line
-	until    time.Duration // its client waits for an answer
-	state    state
-	client   Client
-	server   Server
-	at       choice.ServerID
-	dials    int
-	dialedAt time.Duration
-	asks     int           // client's lines that nothing has come back for
-	askedAt  time.Duration // the first of them
-	levels   levels        // that the server has reported on this connection
-	slot     int           // among the open ones
-	askSlot  int           // among those that nothing has come back for
-}
-
-// Table has all sessions of a proxy.
+// Session is one session, from its OPEN line to its end. Times are those of Table.now.
+type Session struct {
+	table         *Table
+	arrival       choice.Arrival
+	openLine      line.Open     // parsed from openText
+	openText      []byte        // the OPEN line as the client sent it, without its line end
+	deadline      time.Duration // until which the client waits for an answer
+	state         state
+	client        Client
+	server        Server          // of the dial under way or the open connection; nil if there is none
+	serverID      choice.ServerID // last dialed
+	dialCount     int             // dials of the Balancer so far; 1 once a resumed session is open
+	dialedAt      time.Duration   // start of the last dial; 0 for a resumed session
+	unanswered    int             // client's lines without an answer
+	waitingSince  time.Duration   // when the client last began to wait: its first unanswered line or the last partial answer
+	loadReports   loadReports     // LOAD lines on this connection
+	openIndex     int             // position in Table.openSessions
+	awaitingIndex int             // position in Table.awaiting
+}
+
+// Table holds all sessions of a proxy. It implements the part of choice.Front that concerns sessions.
 type Table struct {
-	balancer *choice.Balancer
-	dialer   Dialer
-	now      func() time.Duration
-	later    func(func())
-	after    func(time.Duration, func())
-	retry    time.Duration // between tries of a session that is resumed
-	delays   *Delays
-	stillFor time.Duration                     // after which a server that says nothing to anyone is left
-	heard    map[choice.ServerID]time.Duration // when it last answered anyone
-	sessions map[choice.SessionID]*Exchange
-	open     []*Exchange
-	asking   []*Exchange             // the open ones with a line out: few, however many are open
-	held     map[choice.ServerID]int // open ones
-	silences silences
-	suspect  map[choice.ServerID]time.Duration // when it was last silent to one session or dial
-	next     choice.SessionID
-}
-
-// NewTable makes the table; Serve must be called before anything else.
-func NewTable(dialer Dialer, now func() time.Duration, later func(func()), after func(time.Duration, func()),
-	retry, stillFor time.Duration, delays *Delays) *Table {
-	return &Table{dialer: dialer, now: now, later: later, after: after, retry: retry, stillFor: stillFor,
-		held: map[choice.ServerID]int{}, heard: map[choice.ServerID]time.Duration{}, suspect: map[choice.ServerID]time.Duration{},
-		silences: silences{servers: map[choice.ServerID]silentServer{}}, delays: delays, sessions: map[choice.SessionID]*Exchange{}}
-}
-
-// Serve names the module that decides.
-func (t *Table) Serve(b *choice.Balancer) { t.balancer, t.delays.balancer = b, b }
-
-// Change takes what other settings say; each session keeps what it came under.
-func (t *Table) Change(retry, stillFor, mark time.Duration, tellsLoad, tellsDelay bool) {
-	t.retry, t.stillFor = retry, stillFor
-	t.delays.change(mark, tellsLoad, tellsDelay)
-}
-
-// Forget drops what is known of a server that has left the list, unless sessions are there.
-func (t *Table) Forget(at choice.ServerID) {
-	if t.held[at] == 0 {
-		delete(t.heard, at)
-		delete(t.suspect, at)
-		delete(t.delays.servers, at)
-		delete(t.delays.beats, at)
-	}
-}
-
-// GiveUp answers all sessions that wait, as the process is about to end. One that no dial went out for is refused; of
-// others it is not told whether they have run.
-func (t *Table) GiveUp() {
-	for _, ex := range t.sessions { // each stands for itself, in any order
-		if ex.state == open {
+	balancer       *choice.Balancer
+	dialer         Dialer
+	now            func() time.Duration              // time since the start
+	runAfterEvent  func(func())                      // calls back once the current event is handled
+	startTimer     func(time.Duration, func())       // calls back on the event loop
+	resumeInterval time.Duration                     // between two dials of a session that is resumed
+	delays         *DelayTracker                     // of messages
+	silenceLimit   time.Duration                     // a server that answers nobody for this long loses its sessions
+	lastAnswerAt   map[choice.ServerID]time.Duration // when the server last answered any session
+	sessions       map[choice.SessionID]*Session
+	openSessions   []*Session              // in no particular order
+	awaiting       []*Session              // open sessions with an unanswered line: few, however many are open
+	openPerServer  map[choice.ServerID]int // number of open sessions
+	sweep          sweepState
+	suspectedAt    map[choice.ServerID]time.Duration // when the server last left one session or dial unanswered
+	lastID         choice.SessionID
+}
+
+// NewTable makes an empty table. SetBalancer must be called before any other method. runAfterEvent calls back once the current
+// event is handled, startTimer after a time; resumeInterval is the pause between two dials of a session that is resumed, and
+// silenceLimit the time after which a server that answers nobody loses its sessions.
+func NewTable(dialer Dialer, now func() time.Duration, runAfterEvent func(func()), startTimer func(time.Duration, func()),
+	resumeInterval, silenceLimit time.Duration, delays *DelayTracker) *Table {
+	return &Table{dialer: dialer, now: now, runAfterEvent: runAfterEvent, startTimer: startTimer, resumeInterval: resumeInterval, silenceLimit: silenceLimit,
+		openPerServer: map[choice.ServerID]int{}, lastAnswerAt: map[choice.ServerID]time.Duration{}, suspectedAt: map[choice.ServerID]time.Duration{},
+		sweep: sweepState{servers: map[choice.ServerID]serverSilence{}}, delays: delays, sessions: map[choice.SessionID]*Session{}}
+}
+
+// SetBalancer sets the Balancer that places the sessions.
+func (t *Table) SetBalancer(b *choice.Balancer) { t.balancer, t.delays.balancer = b, b }
+
+// Reconfigure applies new settings; each session keeps the listener settings that it arrived under. The parameters are those
+// of NewTable and NewDelayTracker.
+func (t *Table) Reconfigure(resumeInterval, silenceLimit, reportThreshold time.Duration, reportsLoad, reportsDelay bool) {
+	t.resumeInterval, t.silenceLimit = resumeInterval, silenceLimit
+	t.delays.reconfigure(reportThreshold, reportsLoad, reportsDelay)
+}
+
+// ForgetServer drops what is recorded of a server that has left the list, unless it holds open sessions.
+func (t *Table) ForgetServer(server choice.ServerID) {
+	if t.openPerServer[server] == 0 {
+		delete(t.lastAnswerAt, server)
+		delete(t.suspectedAt, server)
+		delete(t.delays.lastReports, server)
+		delete(t.delays.reportPhases, server)
+	}
+}
+
+// AbortPending gives a final answer to all sessions that are not open, as the process is about to end. A session without a
+// dial is refused; the answer to any other leaves open whether it has run.
+func (t *Table) AbortPending() {
+	for _, session := range t.sessions { // the order doesn't matter: sessions are independent
+		if session.state == open {
 			continue
 		}
-		last := ex.FailureLine()
-		ex.ClientEnded(socket.Reset)
-		ex.client.Answer(last, "proxy-leaves")
+		lastLine := session.FailureLine()
+		session.HandleClientEnd(socket.Reset)
+		session.client.Finish(lastLine, "proxy-leaves")
 	}
 }
 
-// FailureLine is the last line of a session that is given up before it is open: BUSY where no dial went out, so that trying
-// again is harmless, and ERR where one may have run.
-func (ex *Exchange) FailureLine() []byte {
-	if ex.dials > 0 || ex.state == resuming {
+// FailureLine returns the last line to the client of a session that fails before it is open: BUSY if no dial was started, so
+// that a retry is harmless, and ERR if the session may have run.
+func (s *Session) FailureLine() []byte {
+	if s.dialCount > 0 || s.state == resuming {
 		return []byte("ERR\r\n")
 	}
 	return line.FormatBusy(0)
 }
 
-// Len is the number of sessions.
-func (t *Table) Len() int { return len(t.sessions) }
-
-// enter is the one place where a session changes its state.
-func (ex *Exchange) enter(next state) {
-	if !slices.Contains(mayEnter[ex.state], next) {
-		panic(fmt.Sprintf("session %d goes from state %d to %d", ex.arrival.ID, ex.state, next))
-	}
-	t := ex.table
-	if ex.state == open {
-		ex.asked(0)
-		last := len(t.open) - 1
-		t.open[ex.slot] = t.open[last]
-		t.open[ex.slot].slot = ex.slot
-		t.open[last] = nil
-		t.open = t.open[:last]
-		if t.held[ex.at]--; t.held[ex.at] == 0 {
-			delete(t.held, ex.at)
+// SessionCount returns the number of sessions that have not ended.
+func (t *Table) SessionCount() int { return len(t.sessions) }
+
+// enter changes the session's state and keeps the table's lists of open sessions in step. After StartSession has set the initial
+// state, nothing else changes it.
+func (s *Session) enter(next state) {
+	if !slices.Contains(allowedTransitions[s.state], next) {
+		panic(fmt.Sprintf("session %d: transition from state %d to %d is not allowed", s.arrival.ID, s.state, next))
+	}
+	t := s.table
+	if s.state == open {
+		s.setUnanswered(0)
+		last := len(t.openSessions) - 1
+		t.openSessions[s.openIndex] = t.openSessions[last]
+		t.openSessions[s.openIndex].openIndex = s.openIndex
+		t.openSessions[last] = nil
+		t.openSessions = t.openSessions[:last]
+		if t.openPerServer[s.serverID]--; t.openPerServer[s.serverID] == 0 {
+			delete(t.openPerServer, s.serverID)
 		}
 	}
-	ex.state = next
+	s.state = next
 	switch next {
 	case open:
-		ex.slot = len(t.open)
-		t.open = append(t.open, ex)
-		t.held[ex.at]++
+		s.openIndex = len(t.openSessions)
+		t.openSessions = append(t.openSessions, s)
+		t.openPerServer[s.serverID]++
 	case ended:
-		delete(t.sessions, ex.arrival.ID)
+		delete(t.sessions, s.arrival.ID)
 	}
 }
 
-// asked is the one place where the number of lines changes that nothing has come back for.
-func (ex *Exchange) asked(n int) {
-	t := ex.table
+// setUnanswered sets the number of unanswered lines and keeps Table.awaiting in step. Nothing else changes that number.
+func (s *Session) setUnanswered(n int) {
+	t := s.table
 	switch {
-	case ex.asks == 0 && n > 0:
-		ex.askSlot = len(t.asking)
-		t.asking = append(t.asking, ex)
-	case ex.asks > 0 && n == 0:
-		last := len(t.asking) - 1
-		t.asking[ex.askSlot] = t.asking[last]
-		t.asking[ex.askSlot].askSlot = ex.askSlot
-		t.asking[last] = nil
-		t.asking = t.asking[:last]
-	}
-	ex.asks = n
-}
-
-// Begin takes a session. The text outlives the buffer that it was read into, so it is copied.
-func (t *Table) Begin(client Client, a choice.Arrival, text []byte, holder choice.ServerID) *Exchange {
-	t.next++
-	a.ID = t.next
-	ex := &Exchange{table: t, arrival: a, text: slices.Clone(text), client: client, until: t.now() + a.TimeLeft}
-	ex.opening, _ = line.ParseOpen(ex.text)
-	t.sessions[a.ID] = ex
-	if holder != 0 { // the module is told later, perhaps by other settings
-		ex.arrival.Settings = t.balancer.SessionSettings(a.Listener)
-		ex.state, ex.at = resuming, holder
-		ex.resume()
-		return ex
-	}
-	if err := t.balancer.PlaceSession(t.now(), a); err != nil { // only a fault of this program's own
-		ex.enter(ended)
-		client.Answer([]byte("ERR\r\n"), "module")
-	}
-	return ex
-}
-
-// resume sends a session back to its holder.
-func (ex *Exchange) resume() {
-	left := ex.until - ex.table.now()
-	if ex.state != resuming {
+	case s.unanswered == 0 && n > 0:
+		s.awaitingIndex = len(t.awaiting)
+		t.awaiting = append(t.awaiting, s)
+	case s.unanswered > 0 && n == 0:
+		last := len(t.awaiting) - 1
+		t.awaiting[s.awaitingIndex] = t.awaiting[last]
+		t.awaiting[s.awaitingIndex].awaitingIndex = s.awaitingIndex
+		t.awaiting[last] = nil
+		t.awaiting = t.awaiting[:last]
+	}
+	s.unanswered = n
+}
+
+// StartSession adds a session, given the text of its OPEN line, and has it placed. A holder other than 0 is the server that
+// already holds the session: it is dialed without the Balancer. The text is copied, as the session outlives the buffer that it
+// was read into.
+func (t *Table) StartSession(client Client, arrival choice.Arrival, openText []byte, holder choice.ServerID) *Session {
+	t.lastID++
+	arrival.ID = t.lastID
+	session := &Session{table: t, arrival: arrival, openText: slices.Clone(openText), client: client, deadline: t.now() + arrival.TimeLeft}
+	session.openLine, _ = line.ParseOpen(session.openText)
+	t.sessions[arrival.ID] = session
+	if holder != 0 { // the Balancer adopts the session later, when other settings may apply, so the present ones are kept
+		session.arrival.Settings = t.balancer.SessionSettings(arrival.Listener)
+		session.state, session.serverID = resuming, holder
+		session.dialHolder()
+		return session
+	}
+	if err := t.balancer.PlaceSession(t.now(), arrival); err != nil { // only a bug in this program makes it fail
+		session.enter(ended)
+		client.Finish([]byte("ERR\r\n"), "module")
+	}
+	return session
+}
+
+// dialHolder dials the server that already holds the session, or aborts the session if its deadline has passed.
+func (s *Session) dialHolder() {
+	left := s.deadline - s.table.now()
+	if s.state != resuming {
 		return
 	}
 	if left <= 0 {
-		ex.enter(ended)
-		ex.client.Answer([]byte("ERR\r\n"), "not-resumed")
+		s.enter(ended)
+		s.client.Finish([]byte("ERR\r\n"), "not-resumed")
 		return
 	}
-	if ex.connect(ex.at, left); ex.server == nil {
-		ex.resumeLater()
+	if s.startDial(s.serverID, left); s.server == nil {
+		s.scheduleResume()
 	}
 }
 
-func (ex *Exchange) resumeLater() {
-	if left := ex.until - ex.table.now(); left > 0 {
-		ex.table.after(min(ex.table.retry, left), ex.resume)
+// scheduleResume has the holder dialed again after a pause, or has the session aborted if its deadline has passed.
+func (s *Session) scheduleResume() {
+	if left := s.deadline - s.table.now(); left > 0 {
+		s.table.startTimer(min(s.table.resumeInterval, left), s.dialHolder)
 	} else {
-		ex.resume()
+		s.dialHolder()
 	}
 }
 
-// connect begins an attempt, but for a client that has left, as its machine knows it: the event loop may have stood
-// still. The session of such a client is ended once the event at hand is through.
-func (ex *Exchange) connect(to choice.ServerID, limit time.Duration) {
-	if ex.client.Gone() {
-		ex.server = nil
-		ex.table.later(func() { ex.ClientWaits() })
+// startDial starts a dial, or leaves s.server nil if none can be started. None is started for a client that has already left
+// according to the kernel, which the event loop may not have read yet if it was held up; such a session is ended once the
+// current event is handled.
+func (s *Session) startDial(server choice.ServerID, timeout time.Duration) {
+	if s.client.HasStoppedWaiting() {
+		s.server = nil
+		s.table.runAfterEvent(func() { s.EnsureClientWaiting() })
 		return
 	}
-	ex.server = ex.table.dialer.Dial(to, limit, ex)
+	s.server = s.table.dialer.Dial(server, timeout, s)
 }
 
-// What the module answers.
+// Decisions of the Balancer: methods of choice.Front.
 
-func (t *Table) Dial(id choice.SessionID, to choice.ServerID, limit time.Duration) {
-	ex := t.sessions[id]
-	ex.enter(dialing)
-	ex.at, ex.dialedAt = to, t.now()
-	ex.dials++
-	if ex.connect(to, limit); ex.server == nil {
-		t.later(func() { ex.Failed(choice.NotSent) })
+// Dial implements choice.Front. A dial that can't be started fails as NotSent once the current event is handled.
+func (t *Table) Dial(id choice.SessionID, server choice.ServerID, timeout time.Duration) {
+	session := t.sessions[id]
+	session.enter(dialing)
+	session.serverID, session.dialedAt = server, t.now()
+	session.dialCount++
+	if session.startDial(server, timeout); session.server == nil {
+		t.runAfterEvent(func() { session.HandleDialFailure(choice.NotSent) })
 	}
 }
 
-func (t *Table) Refuse(id choice.SessionID, comeBack time.Duration) {
-	t.answer(id, line.FormatBusy(comeBack), "refused")
+// Refuse implements choice.Front: it sends BUSY to the client.
+func (t *Table) Refuse(id choice.SessionID, retryAfter time.Duration) {
+	t.finish(id, line.FormatBusy(retryAfter), "refused")
 }
 
-func (t *Table) Abort(id choice.SessionID) { t.answer(id, []byte("ERR\r\n"), "torn-down") }
+// Abort implements choice.Front: it sends ERR to the client.
+func (t *Table) Abort(id choice.SessionID) { t.finish(id, []byte("ERR\r\n"), "torn-down") }
 
-func (t *Table) answer(id choice.SessionID, last []byte, reason string) {
-	if ex := t.sessions[id]; ex != nil {
-		ex.enter(ended)
-		ex.client.Answer(last, reason)
+// finish ends a session with a last line to its client.
+func (t *Table) finish(id choice.SessionID, lastLine []byte, reason string) {
+	if session := t.sessions[id]; session != nil {
+		session.enter(ended)
+		session.client.Finish(lastLine, reason)
 	}
 }
 
+// Move implements choice.Front: it sends MOVE to the client of an open session.
 func (t *Table) Move(id choice.SessionID) {
-	if ex := t.sessions[id]; ex != nil && ex.state == open {
-		ex.move(choice.Cancelled, "moved")
+	if session := t.sessions[id]; session != nil && session.state == open {
+		session.move(choice.Cancelled, "moved")
 	}
 }
 
-// move sends an open session away in good order; the module is told once it can be called.
-func (ex *Exchange) move(outcome choice.Outcome, reason string) {
-	ex.enter(ended)
-	ex.client.Answer([]byte("MOVE\r\n"), reason)
-	ex.server.End(socket.Finished, reason)
-	ex.table.later(func() { ex.settled(outcome, true) })
+// move closes an open session gracefully and asks its client to reconnect. The Balancer, which may be in the middle of a call
+// of Move, is told once the current event is handled.
+func (s *Session) move(outcome choice.Outcome, reason string) {
+	s.enter(ended)
+	s.client.Finish([]byte("MOVE\r\n"), reason)
+	s.server.End(socket.Finished, reason)
+	s.table.runAfterEvent(func() { s.reportDialEnd(outcome, true) })
 }
 
-func (ex *Exchange) settled(outcome choice.Outcome, isOver bool) {
-	t := ex.table
-	t.balancer.HandleDialEnd(t.now(), ex.arrival.ID, choice.DialNumber(ex.dials-1), ex.at, outcome, t.now()-ex.dialedAt, isOver)
+// reportDialEnd tells the Balancer how the session's last dial, or the open session, ended.
+func (s *Session) reportDialEnd(outcome choice.Outcome, isOver bool) {
+	t := s.table
+	t.balancer.HandleDialEnd(t.now(), s.arrival.ID, choice.DialNumber(s.dialCount-1), s.serverID, outcome, t.now()-s.dialedAt, isOver)
 }
 
-// What the client side reads.
+// Events of the client's side.
 
-// FromClient passes whole lines on.
-func (ex *Exchange) FromClient(lines []byte, n int) {
-	if ex.state != open {
+// RelayFromClient passes whole lines on to the server of an open session; n is their number.
+func (s *Session) RelayFromClient(lines []byte, n int) {
+	if s.state != open {
 		return
 	}
-	if ex.asks == 0 {
-		ex.askedAt = ex.table.now()
+	if s.unanswered == 0 {
+		s.waitingSince = s.table.now()
 	}
-	ex.asked(ex.asks + n)
-	ex.server.Write(lines)
+	s.setUnanswered(s.unanswered + n)
+	s.server.Write(lines)
 }
 
-// ClientEnded tells that the client has gone.
-func (ex *Exchange) ClientEnded(how socket.End) {
-	was := ex.state
-	if was == ended {
+// HandleClientEnd ends the session, and its dial or server connection, after its client has gone.
+func (s *Session) HandleClientEnd(how socket.End) {
+	previous := s.state
+	if previous == ended {
 		return
 	}
-	ex.enter(ended)
-	if was != open {
-		how = socket.Reset // a first line that this machine still holds must not follow the client's goodbye
+	s.enter(ended)
+	if previous != open {
+		how = socket.Reset // a first line still in this machine's send buffer must not reach the server after the client has left
 	}
-	if was != resuming {
-		ex.table.balancer.HandleClientGone(ex.table.now(), ex.arrival.ID)
+	if previous != resuming {
+		s.table.balancer.HandleClientGone(s.table.now(), s.arrival.ID)
 	}
-	if was != placing && ex.server != nil {
-		ex.server.End(how, "client-left")
+	if previous != placing && s.server != nil {
+		s.server.End(how, "client-left")
 	}
-	if was == dialing || was == open {
-		ex.settled(choice.Cancelled, true)
+	if previous == dialing || previous == open {
+		s.reportDialEnd(choice.Cancelled, true)
 	}
 }
 
-// ClientBroken tells that the client's connection of an open session is broken though the client has ended nothing. It is
-// moved: if it is well it comes again.
-func (ex *Exchange) ClientBroken() {
-	if ex.state == open {
-		ex.move(choice.Cancelled, "client-broken")
+// HandleClientBroken moves an open session whose client connection was broken by the network. The client has not ended it, and
+// reconnects if it is still there.
+func (s *Session) HandleClientBroken() {
+	if s.state == open {
+		s.move(choice.Cancelled, "client-broken")
 	}
 }
 
-// ClientWaits tells whether the client still waits; if not, the session has ended.
-func (ex *Exchange) ClientWaits() bool { return ex.client.Waits() }
+// EnsureClientWaiting reports whether the client still waits for its answer. If not, the session has ended when it returns.
+func (s *Session) EnsureClientWaiting() bool { return s.client.EnsureWaiting() }
 
-// FirstLine is the line that a server gets which this proxy will wait for so much longer.
-func (ex *Exchange) FirstLine(wait time.Duration) []byte {
-	return ex.opening.AppendOpen(nil, ex.text, wait)
+// FirstLine returns the OPEN line for a server: as the client sent it, with the time left replaced by the time for which this
+// proxy still waits for the server's answer.
+func (s *Session) FirstLine(timeLeft time.Duration) []byte {
+	return s.openLine.AppendOpen(nil, s.openText, timeLeft)
 }
 
-// Goes tells whether the first line may still go to the server, whose connection stands now.
-func (ex *Exchange) Goes() bool {
-	return ex.state != dialing || ex.table.balancer.MaySend(ex.table.now(), ex.arrival.ID)
+// MaySendFirstLine reports whether the first line may still be sent to the server, now that the connection is established.
+func (s *Session) MaySendFirstLine() bool {
+	return s.state != dialing || s.table.balancer.MaySend(s.table.now(), s.arrival.ID)
 }
 
-// What the server side reads.
+// Events of the server's side.
 
-// Opened passes the server's word that the session stands, unless its client has left by now: what that has sent
-// before would be read as a line of an open session, and go on to the server.
-func (ex *Exchange) Opened(up []byte) {
-	t := ex.table
-	t.heard[ex.at] = t.now()
-	if ex.state != ended && !ex.ClientWaits() {
-		return // it has ended the session
+// HandleOpened opens the session and passes the server's UP line on, unless the client no longer waits: what the client sent
+// before its answer would otherwise be read as a line of an open session and be relayed to the server.
+func (s *Session) HandleOpened(upLine []byte) {
+	t := s.table
+	t.lastAnswerAt[s.serverID] = t.now()
+	if s.state != ended && !s.EnsureClientWaiting() {
+		return // EnsureClientWaiting has ended the session
 	}
-	switch ex.state {
+	switch s.state {
 	case dialing:
-		ex.enter(open)
-		t.balancer.HandleOpened(t.now(), ex.arrival.ID, ex.at, choice.DialNumber(ex.dials-1), t.now()-ex.dialedAt)
+		s.enter(open)
+		t.balancer.HandleOpened(t.now(), s.arrival.ID, s.serverID, choice.DialNumber(s.dialCount-1), t.now()-s.dialedAt)
 	case resuming:
-		ex.enter(open)
-		ex.dials = 1
-		if err := t.balancer.AdoptSession(t.now(), ex.arrival, ex.at); err != nil { // guards against a list without it
-			ex.enter(ended)
-			ex.server.End(socket.Finished, "not-resumed")
-			ex.client.Answer([]byte("ERR\r\n"), "not-resumed")
+		s.enter(open)
+		s.dialCount = 1
+		if err := t.balancer.AdoptSession(t.now(), s.arrival, s.serverID); err != nil { // the server may have left the list meanwhile
+			s.enter(ended)
+			s.server.End(socket.Finished, "not-resumed")
+			s.client.Finish([]byte("ERR\r\n"), "not-resumed")
 			return
 		}
 	default:
 		return
 	}
-	ex.client.Write(up)
-	ex.client.Up()
+	s.client.Write(upLine)
+	s.client.StartRelay()
 }
 
-// Failed tells how a dial ended that brought no session up.
-func (ex *Exchange) Failed(outcome choice.Outcome) {
+// HandleDialFailure handles a dial that ended without opening the session: the Balancer decides on the next dial; a session
+// that is resumed dials its holder again after a pause.
+func (s *Session) HandleDialFailure(outcome choice.Outcome) {
 	if outcome == choice.TimedOut || outcome == choice.Unreachable {
-		ex.table.suspect[ex.at] = ex.table.now()
+		s.table.suspectedAt[s.serverID] = s.table.now()
 	}
-	switch ex.state {
+	switch s.state {
 	case dialing:
-		ex.server = nil
-		ex.enter(placing)
-		ex.settled(outcome, false)
+		s.server = nil
+		s.enter(placing)
+		s.reportDialEnd(outcome, false)
 	case resuming:
-		ex.server = nil
-		ex.resumeLater()
+		s.server = nil
+		s.scheduleResume()
 	}
 }
 
-// Ended tells that a server has accepted the session and ended it before it stood.
-func (ex *Exchange) Ended(bye []byte) {
-	if was := ex.state; was == dialing || was == resuming {
-		ex.enter(ended)
-		ex.client.Answer(bye, "ended")
-		if was == dialing {
-			ex.settled(choice.Accepted, true)
+// HandleEndBeforeOpen handles a server's BYE in place of UP: the server accepted the session and ended it at once. The BYE
+// line is passed on.
+func (s *Session) HandleEndBeforeOpen(byeLine []byte) {
+	if previous := s.state; previous == dialing || previous == resuming {
+		s.enter(ended)
+		s.client.Finish(byeLine, "ended")
+		if previous == dialing {
+			s.reportDialEnd(choice.Accepted, true)
 		}
 	}
 }
 
-// FromServer passes whole lines on. Lines that tell a load or an end are no answer to the client's, and a server that
-// hangs goes on sending them.
-func (ex *Exchange) FromServer(lines []byte, answers int) {
+// RelayFromServer passes whole lines on to the client of an open session. answers is how many of them answer a client's line:
+// LOAD, BYE and MOVE don't, and a server that hangs may go on sending LOAD.
+func (s *Session) RelayFromServer(lines []byte, answers int) {
 	if answers > 0 {
-		ex.table.heard[ex.at] = ex.table.now()
+		s.table.lastAnswerAt[s.serverID] = s.table.now()
 	}
-	if ex.state != open {
+	if s.state != open {
 		return
 	}
-	if answers > 0 && ex.asks > 0 {
-		ex.table.delays.Seen(ex.table.now(), ex.at, ex.table.now()-ex.askedAt)
-		if ex.state != open { // the module may have moved it
+	if answers > 0 && s.unanswered > 0 {
+		s.table.delays.RecordAnswer(s.table.now(), s.serverID, s.table.now()-s.waitingSince)
+		if s.state != open { // the Balancer may have moved it
 			return
 		}
-		if ex.asked(max(ex.asks-answers, 0)); ex.asks > 0 {
-			ex.askedAt = ex.table.now()
+		if s.setUnanswered(max(s.unanswered-answers, 0)); s.unanswered > 0 {
+			s.waitingSince = s.table.now()
 		}
 	}
-	ex.client.Write(lines)
+	s.client.Write(lines)
 }
 
-// NoteLoad takes the number of a LOAD line.
-func (ex *Exchange) NoteLoad(level float64) {
-	t := ex.table
-	if ex.state != open {
+// HandleLoadReport records the number of a LOAD line, which is the session's load in microseconds of work per second or the
+// server's message delay in milliseconds; see DelayTracker.isDelay.
+func (s *Session) HandleLoadReport(level float64) {
+	t := s.table
+	if s.state != open {
 		return
 	}
-	isDelay, newly := t.delays.isDelay(t.now(), ex.at, &ex.levels, level)
-	if newly { // the one before was no load either
-		ex.levels.load = ex.levels.before
-		ex.loadIs(ex.levels.load)
+	isDelay, isPhaseNew := t.delays.isDelay(t.now(), s.serverID, &s.loadReports, level)
+	if isPhaseNew { // the previous number was a delay as well, so the load before it holds
+		s.loadReports.last = s.loadReports.previous
+		s.recordLoad(s.loadReports.last)
 	}
 	if isDelay {
-		t.balancer.RecordServerDelay(t.now(), ex.at, time.Duration(level*float64(time.Millisecond)))
+		t.balancer.RecordServerDelay(t.now(), s.serverID, time.Duration(level*float64(time.Millisecond)))
 		return
 	}
-	if wait, may := t.delays.mayBe(&ex.levels, level); may {
-		t.balancer.RecordServerDelay(t.now(), ex.at, wait)
+	if delay, mayBe := t.delays.mayBeDelay(&s.loadReports, level); mayBe {
+		t.balancer.RecordServerDelay(t.now(), s.serverID, delay)
 	}
-	ex.levels = levels{ex.levels.n + 1, t.now(), level, ex.levels.load}
-	ex.loadIs(level)
+	s.loadReports = loadReports{s.loadReports.count + 1, t.now(), level, s.loadReports.last}
+	s.recordLoad(level)
 }
 
-// loadIs tells the module the load, in microseconds of work a second.
-func (ex *Exchange) loadIs(level float64) {
-	ex.table.balancer.RecordSessionLoad(ex.table.now(), ex.arrival.ID, choice.DialNumber(ex.dials-1), level/1e6)
+// recordLoad passes a load on to the Balancer, converted from microseconds of work per second to cores.
+func (s *Session) recordLoad(level float64) {
+	s.table.balancer.RecordSessionLoad(s.table.now(), s.arrival.ID, choice.DialNumber(s.dialCount-1), level/1e6)
 }
 
-// ServerEnded tells that the server has ended an open session.
-func (ex *Exchange) ServerEnded(outcome choice.Outcome, how socket.End, reason string) {
-	if ex.state != open {
+// HandleServerEnd ends an open session, and the client's connection, after the server has ended it or its connection broke.
+func (s *Session) HandleServerEnd(outcome choice.Outcome, how socket.End, reason string) {
+	if s.state != open {
 		return
 	}
-	ex.enter(ended)
-	if how == socket.Broken { // the server may hold the session still: its client is not cut off without a word
-		ex.client.Answer([]byte("MOVE\r\n"), reason)
+	s.enter(ended)
+	if how == socket.Broken { // the server may still hold the session, so the client is asked to reconnect rather than cut off
+		s.client.Finish([]byte("MOVE\r\n"), reason)
 	} else {
-		ex.client.End(how, reason)
+		s.client.End(how, reason)
 	}
-	if outcome == choice.Cancelled { // in the server's own words: it drains
-		ex.table.balancer.HandleDrainNotice(ex.table.now(), ex.at)
+	if outcome == choice.Cancelled { // the server sent MOVE: it drains
+		s.table.balancer.HandleDrainNotice(s.table.now(), s.serverID)
 	}
-	ex.settled(outcome, true)
+	s.reportDialEnd(outcome, true)
 }
 
-// MoveSome sends up to n open sessions away before the proxy leaves.
+// MoveSome moves up to n open sessions, as the proxy is about to stop.
 func (t *Table) MoveSome(n int) {
-	for ; n > 0 && len(t.open) > 0; n-- {
-		t.open[len(t.open)-1].move(choice.Cancelled, "proxy-leaves")
+	for ; n > 0 && len(t.openSessions) > 0; n-- {
+		t.openSessions[len(t.openSessions)-1].move(choice.Cancelled, "proxy-leaves")
 	}
 }
 
-// EachOpen calls back with each open session's first line and where it is held.
-func (t *Table) EachOpen(call func(at choice.ServerID, of *line.Open)) {
-	for _, ex := range t.open {
-		call(ex.at, &ex.opening)
+// ForEachOpen calls visit for each open session with its server and its OPEN line.
+func (t *Table) ForEachOpen(visit func(server choice.ServerID, openLine *line.Open)) {
+	for _, session := range t.openSessions {
+		visit(session.serverID, &session.openLine)
 	}
 }
 
-// Open is the number of open sessions.
-func (t *Table) Open() int { return len(t.open) }
+// OpenCount returns the number of open sessions.
+func (t *Table) OpenCount() int { return len(t.openSessions) }
 
-// Name is the id that the client gave the session.
-func (ex *Exchange) Name() string { return string(ex.opening.ID) }
+// ID returns the id that the client gave the session.
+func (s *Session) ID() string { return string(s.openLine.ID) }
 
-// Opening is the first line, as the client sent it.
-func (ex *Exchange) Opening() *line.Open { return &ex.opening }
+// OpenLine returns the OPEN line as the client sent it.
+func (s *Session) OpenLine() *line.Open { return &s.openLine }
 
-// Resumes tells whether the session goes back to its holder, which may drain by now.
-func (ex *Exchange) Resumes() bool { return ex.state == resuming }
+// IsResuming reports whether the session is dialing the server that already holds it. That server may be draining by now.
+func (s *Session) IsResuming() bool { return s.state == resuming }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -16,49 +16,52 @@
 )
 
 const (
-	ms       = time.Millisecond
-	sec      = time.Second
-	stillFor = 300 * ms
+	ms           = time.Millisecond
+	sec          = time.Second
+	silenceLimit = 300 * ms
 )
 
-// rig runs a table with the module and checks what both sides see.
+// rig runs a Table with a Balancer on a simulated clock, plays the client and server sides, and checks what both see.
 type rig struct {
 	*Table
-	b       *choice.Balancer
-	now     time.Duration
-	waiting []func()
-	due     []alarm
-	clients []*client
-	dials   []*dial
-	noRoom  bool
-	fault   string
+	balancer      *choice.Balancer
+	now           time.Duration
+	deferred      []func() // calls of runAfterEvent
+	timers        []testTimer
+	clients       []*client
+	dials         []*dial
+	noDescriptors bool   // dials can't be started
+	fault         string // the first one found
 }
 
-type alarm struct {
+// testTimer is a call that is due at a time of the rig's clock.
+type testTimer struct {
 	at   time.Duration
 	call func()
 }
 
+// client is the client's side of a session.
 type client struct {
-	r        *rig
-	ex       *Exchange
-	until    time.Duration
-	up, over bool
-	answer   string
-	seen     string
-	reason   string
+	rig           *rig
+	session       *Session
+	deadline      time.Duration
+	isOpen, ended bool
+	lastLine      string
+	received      string
+	reason        string
 }
 
+// dial is the server's side of a session.
 type dial struct {
-	r       *rig
-	ex      *Exchange
-	at      choice.ServerID
-	first   string
-	until   time.Duration
-	up      bool
-	over    bool
-	reason  string
-	written string
+	rig       *rig
+	session   *Session
+	server    choice.ServerID
+	firstLine string
+	deadline  time.Duration
+	isOpen    bool
+	ended     bool
+	reason    string
+	written   string
 }
 
 func (r *rig) fail(format string, args ...any) {
@@ -68,238 +71,242 @@
 }
 
 func (c *client) Write(lines []byte) {
-	if c.over {
-		c.r.fail("a client that is gone gets %q", lines)
+	if c.ended {
+		c.rig.fail("client that has ended gets %q", lines)
 	}
 	if !strings.HasSuffix(string(lines), "\r\n") {
-		c.r.fail("a client gets a part of a line: %q", lines)
+		c.rig.fail("client gets a partial line: %q", lines)
 	}
-	c.seen += string(lines)
+	c.received += string(lines)
 }
 
-func (c *client) Up() { c.up = true }
+func (c *client) StartRelay() { c.isOpen = true }
 
-func (c *client) Waits() bool { return !c.over }
-func (c *client) Gone() bool  { return c.over }
+func (c *client) EnsureWaiting() bool     { return !c.ended }
+func (c *client) HasStoppedWaiting() bool { return c.ended }
 
-func (c *client) Answer(last []byte, reason string) {
-	c.Write(last)
-	c.answer = string(last)
-	if (c.answer == "MOVE\r\n") != c.up {
-		c.r.fail("%q to a client, up is %v", last, c.up)
+func (c *client) Finish(lastLine []byte, reason string) {
+	c.Write(lastLine)
+	c.lastLine = string(lastLine)
+	if (c.lastLine == "MOVE\r\n") != c.isOpen {
+		c.rig.fail("client gets %q; its session is open: %v", lastLine, c.isOpen)
 	}
 	c.End(socket.Finished, reason)
 }
 
 func (c *client) End(_ socket.End, reason string) {
-	if c.over {
-		c.r.fail("a client ends twice, now as %s", reason)
+	if c.ended {
+		c.rig.fail("client ends twice, the second time with reason %s", reason)
 	}
-	c.over, c.reason = true, reason
+	c.ended, c.reason = true, reason
 }
 
 func (d *dial) Write(lines []byte) {
-	if d.over || !d.up {
-		d.r.fail("a server that is not up gets %q", lines)
+	if d.ended || !d.isOpen {
+		d.rig.fail("server without an open session gets %q", lines)
 	}
 	d.written += string(lines)
 }
 
-func (d *dial) End(_ socket.End, reason string) { d.over, d.reason = true, reason }
+func (d *dial) End(_ socket.End, reason string) { d.ended, d.reason = true, reason }
 
-func (r *rig) Dial(at choice.ServerID, limit time.Duration, ex *Exchange) Server {
-	if r.noRoom {
+func (r *rig) Dial(server choice.ServerID, timeout time.Duration, session *Session) Server {
+	if r.noDescriptors {
 		return nil
 	}
 	for _, d := range r.dials {
-		if d.ex == ex && !d.over {
-			r.fail("two dials of one session are out")
+		if d.session == session && !d.ended {
+			r.fail("two dials of one session are under way")
 		}
 	}
-	d := &dial{r: r, ex: ex, at: at, first: string(ex.FirstLine(limit)), until: r.now + limit}
+	d := &dial{rig: r, session: session, server: server, firstLine: string(session.FirstLine(timeout)), deadline: r.now + timeout}
 	r.dials = append(r.dials, d)
 	return d
 }
 
-// front is the module's view.
-type front struct {
+// testFront is the choice.Front of the Balancer.
+type testFront struct {
 	*Table
-	r *rig
+	rig *rig
 }
 
-func (f front) PublishOverload(choice.ServerID, time.Duration) {}
-func (f front) SubscribeList()                                 {}
-func (f front) Log(string)                                     {}
-func (f front) StartTimer(after time.Duration, token choice.TimerToken) {
-	f.r.due = append(f.r.due, alarm{f.r.now + after, func() { f.r.b.HandleTimer(f.r.now, token) }})
+func (f testFront) PublishOverload(choice.ServerID, time.Duration) {}
+func (f testFront) SubscribeList()                                 {}
+func (f testFront) Log(string)                                     {}
+func (f testFront) StartTimer(after time.Duration, token choice.TimerToken) {
+	f.rig.timers = append(f.rig.timers, testTimer{f.rig.now + after, func() { f.rig.balancer.HandleTimer(f.rig.now, token) }})
 }
 
 func newRig(servers int) *rig {
 	r := &rig{}
-	r.Table = NewTable(r, func() time.Duration { return r.now }, func(call func()) { r.waiting = append(r.waiting, call) },
-		func(after time.Duration, call func()) { r.due = append(r.due, alarm{r.now + after, call}) },
-		50*ms, stillFor, NewDelays(33*ms, sec, true, true))
-	r.b = choice.New(front{r.Table, r}, rand.New(rand.NewSource(1)),
+	r.Table = NewTable(r, func() time.Duration { return r.now }, func(call func()) { r.deferred = append(r.deferred, call) },
+		func(after time.Duration, call func()) { r.timers = append(r.timers, testTimer{r.now + after, call}) },
+		50*ms, silenceLimit, NewDelayTracker(33*ms, sec, true, true))
+	r.balancer = choice.New(testFront{r.Table, r}, rand.New(rand.NewSource(1)),
 		[]choice.Listener{{HandshakeTarget: 300 * ms, DialTimeout: 1200 * ms, MessageTarget: 100 * ms, Utility: 1}},
 		choice.DialLimits{MaxDials: 3}, choice.RetryBudget{}, choice.ListSettings{NeedsSubscription: true, MaxPollInterval: 10 * sec},
 		choice.ColdSettings{RampDuration: 20 * sec, InitialShare: 0.2, OverloadMultiple: 3, OverloadWindow: 3 * sec, ProxyCount: 3},
 		choice.PeerReportSettings{})
-	r.Serve(r.b)
+	r.SetBalancer(r.balancer)
 	entries := []choice.Entry{}
 	for id := range servers {
 		entries = append(entries, choice.Entry{ID: choice.ServerID(id + 1), Size: 1, Status: choice.Ready})
 	}
-	r.b.ApplyList(0, choice.ListFull, entries)
+	r.balancer.ApplyList(0, choice.ListFull, entries)
 	return r
 }
 
-// do does one thing and all that had to wait for its end.
-func (r *rig) do(call func()) {
+// runEvent calls a function as one event of the loop, then everything that it deferred until after the event.
+func (r *rig) runEvent(call func()) {
 	call()
-	for len(r.waiting) > 0 {
-		call, r.waiting = r.waiting[0], r.waiting[1:]
+	for len(r.deferred) > 0 {
+		call, r.deferred = r.deferred[0], r.deferred[1:]
 		call()
 	}
 }
 
 func (r *rig) sweep() { r.Sweep(100 * ms) }
 
-// pass lets time pass.
-func (r *rig) pass(span time.Duration) {
-	r.now += span
+// advance moves the clock, runs the timers that are due and times out dials.
+func (r *rig) advance(duration time.Duration) {
+	r.now += duration
 	for {
-		i := slices.IndexFunc(r.due, func(a alarm) bool { return a.at <= r.now })
+		i := slices.IndexFunc(r.timers, func(a testTimer) bool { return a.at <= r.now })
 		if i < 0 {
 			break
 		}
-		call := r.due[i].call
-		r.due = slices.Delete(r.due, i, i+1)
-		r.do(call)
+		call := r.timers[i].call
+		r.timers = slices.Delete(r.timers, i, i+1)
+		r.runEvent(call)
 	}
 	for _, d := range r.dials {
-		if !d.over && !d.up && d.until <= r.now {
-			r.end(d, choice.TimedOut)
+		if !d.ended && !d.isOpen && d.deadline <= r.now {
+			r.failDial(d, choice.TimedOut)
 		}
 	}
 }
 
-func (r *rig) end(d *dial, outcome choice.Outcome) {
-	d.over = true
-	r.do(func() { d.ex.Failed(outcome) })
+// failDial ends a dial without opening its session.
+func (r *rig) failDial(d *dial, outcome choice.Outcome) {
+	d.ended = true
+	r.runEvent(func() { d.session.HandleDialFailure(outcome) })
 }
 
-func (r *rig) open(holder choice.ServerID) *client {
+// startSession has a new client ask for a session; a holder other than 0 already holds it.
+func (r *rig) startSession(holder choice.ServerID) *client {
 	text := fmt.Sprintf("OPEN s%d %x c=x,d=1200,g=7", len(r.clients), len(r.clients)+1)
 	if holder != 0 {
 		text += ",at=held"
 	}
-	c := &client{r: r, until: r.now + 1200*ms}
+	c := &client{rig: r, deadline: r.now + 1200*ms}
 	r.clients = append(r.clients, c)
-	r.do(func() {
-		c.ex = r.Begin(c, choice.Arrival{TimeLeft: 1200 * ms, Client: choice.Key(len(r.clients))}, []byte(text), holder)
+	r.runEvent(func() {
+		c.session = r.StartSession(c, choice.Arrival{TimeLeft: 1200 * ms, Client: choice.Key(len(r.clients))}, []byte(text), holder)
 	})
 	return c
 }
 
-func (r *rig) up(d *dial) {
-	d.up = true
-	r.do(func() { d.ex.Opened([]byte("UP 1\r\n")) })
+// openDial has the dial's server answer with UP.
+func (r *rig) openDial(d *dial) {
+	d.isOpen = true
+	r.runEvent(func() { d.session.HandleOpened([]byte("UP 1\r\n")) })
 }
 
-// opened is a session that stands, and its dial.
-func (r *rig) opened() (*client, *dial) {
-	c := r.open(0)
+// newOpenSession returns the client and the dial of a new open session.
+func (r *rig) newOpenSession() (*client, *dial) {
+	c := r.startSession(0)
 	d := r.dials[len(r.dials)-1]
-	r.up(d)
+	r.openDial(d)
 	return c, d
 }
 
-// check holds that no session is lost or answered late, that both sides end together, and that what is kept of the
-// open sessions beside them is what they say.
-func (r *rig) check() {
-	asking, held := 0, map[choice.ServerID]int{}
-	for _, ex := range r.Table.open {
-		held[ex.at]++
-		if ex.asks > 0 {
-			asking++
-			if r.asking[ex.askSlot] != ex {
-				r.fail("session %s is not where it says among those that ask", ex.Name())
+// checkInvariants checks that no session is lost or answered late, that both sides of a session end together, and that the
+// table's indexes of open sessions agree with the sessions.
+func (r *rig) checkInvariants() {
+	awaiting, openPerServer := 0, map[choice.ServerID]int{}
+	for _, session := range r.Table.openSessions {
+		openPerServer[session.serverID]++
+		if session.unanswered > 0 {
+			awaiting++
+			if r.awaiting[session.awaitingIndex] != session {
+				r.fail("session %s is not at its index in the awaiting list", session.ID())
 			}
 		}
 	}
-	if asking != len(r.asking) || !maps.Equal(held, r.held) {
-		r.fail("%d sessions ask, %d are kept; %v are held, %v are kept", asking, len(r.asking), held, r.held)
+	if awaiting != len(r.awaiting) || !maps.Equal(openPerServer, r.openPerServer) {
+		r.fail("%d sessions await an answer, %d are listed; open per server: %v, listed %v", awaiting, len(r.awaiting), openPerServer, r.openPerServer)
 	}
 	for i, c := range r.clients {
 		n := 0
 		for _, d := range r.dials {
-			if d.ex == c.ex && !d.over {
+			if d.session == c.session && !d.ended {
 				n++
 			}
 		}
 		switch {
-		case c.over && n > 0:
-			r.fail("session %d has ended as %s, its dial is out", i, c.reason)
-		case !c.over && !c.up && r.now > c.until:
-			r.fail("session %d has no answer by %v, state %d, %q", i, c.until, c.ex.state, c.ex.text)
-		case !c.over && c.up && n != 1:
-			r.fail("session %d is up on %d connections", i, n)
-		case c.over && c.answer == "" && c.reason != "client-left" && !c.up:
-			r.fail("session %d has ended as %s without an answer", i, c.reason)
+		case c.ended && n > 0:
+			r.fail("session %d has ended with reason %s, but its dial has not", i, c.reason)
+		case !c.ended && !c.isOpen && r.now > c.deadline:
+			r.fail("session %d has no answer by its deadline %v: state %d, %q", i, c.deadline, c.session.state, c.session.openText)
+		case !c.ended && c.isOpen && n != 1:
+			r.fail("session %d is open on %d connections", i, n)
+		case c.ended && c.lastLine == "" && c.reason != "client-left" && !c.isOpen:
+			r.fail("session %d has ended with reason %s and no answer", i, c.reason)
 		}
 	}
 }
 
+// TestRules plays random events of clients, servers and time, and checks the invariants after each step.
 func TestRules(t *testing.T) {
 	check := func(seed int64) bool {
 		chance := rand.New(rand.NewSource(seed))
 		r := newRig(1 + chance.Intn(4))
 		for range 400 {
-			r.pass(time.Duration(chance.Int63n(int64(60 * ms))))
-			r.noRoom = chance.Intn(20) == 0
+			r.advance(time.Duration(chance.Int63n(int64(60 * ms))))
+			r.noDescriptors = chance.Intn(20) == 0
 			if len(r.dials) > 0 {
 				d := r.dials[max(len(r.dials)-1-chance.Intn(8), 0)]
 				switch what := chance.Intn(10); {
-				case d.over:
-				case !d.up && what < 4:
-					r.up(d)
-				case !d.up && what < 6:
-					r.end(d, choice.Outcome(2+chance.Intn(6)))
-				case !d.up && what == 6:
-					d.over = true
-					r.do(func() { d.ex.Ended([]byte("BYE\r\n")) })
-				case d.up && what < 5:
-					r.do(func() { d.ex.FromServer([]byte("M 1\r\nLOAD 1\r\n"), 1) })
-				case d.up && what == 5:
-					d.over = true
-					r.do(func() { d.ex.ServerEnded(choice.Outcome(1+chance.Intn(7)), socket.Reset, "broken") })
-				case d.up:
-					r.do(func() { d.ex.NoteLoad(float64(chance.Intn(5000))) })
+				case d.ended:
+				case !d.isOpen && what < 4:
+					r.openDial(d)
+				case !d.isOpen && what < 6:
+					r.failDial(d, choice.Outcome(2+chance.Intn(6)))
+				case !d.isOpen && what == 6:
+					d.ended = true
+					r.runEvent(func() { d.session.HandleEndBeforeOpen([]byte("BYE\r\n")) })
+				case d.isOpen && what < 5:
+					r.runEvent(func() { d.session.RelayFromServer([]byte("M 1\r\nLOAD 1\r\n"), 1) })
+				case d.isOpen && what == 5:
+					d.ended = true
+					r.runEvent(func() { d.session.HandleServerEnd(choice.Outcome(1+chance.Intn(7)), socket.Reset, "broken") })
+				case d.isOpen:
+					r.runEvent(func() { d.session.HandleLoadReport(float64(chance.Intn(5000))) })
 				}
 			}
 			if len(r.clients) > 0 {
 				c := r.clients[max(len(r.clients)-1-chance.Intn(8), 0)]
 				switch what := chance.Intn(10); {
-				case c.over:
+				case c.ended:
 				case what == 0:
-					c.over, c.reason = true, "client-left"
-					r.do(func() { c.ex.ClientEnded(socket.Reset) })
-				case c.up && what < 6:
-					r.do(func() { c.ex.FromClient([]byte("M 1\r\n"), 1) })
+					c.ended, c.reason = true, "client-left"
+					r.runEvent(func() { c.session.HandleClientEnd(socket.Reset) })
+				case c.isOpen && what < 6:
+					r.runEvent(func() { c.session.RelayFromClient([]byte("M 1\r\n"), 1) })
 				}
 			}
 			switch chance.Intn(8) {
 			case 0, 1:
-				r.open(choice.ServerID(max(chance.Intn(8)-6, 0)))
+				r.startSession(choice.ServerID(max(chance.Intn(8)-6, 0)))
 			case 2:
-				r.do(r.sweep)
+				r.runEvent(r.sweep)
 			case 3:
-				r.do(func() { r.MoveSome(chance.Intn(2)) })
+				r.runEvent(func() { r.MoveSome(chance.Intn(2)) })
 			}
-			r.check()
+			r.checkInvariants()
 		}
-		r.pass(2 * sec)
-		r.check()
+		r.advance(2 * sec)
+		r.checkInvariants()
 		if r.fault != "" {
 			t.Logf("seed %d: %s", seed, r.fault)
 		}
@@ -310,97 +317,99 @@
 	}
 }
 
-// TestFirstLine: a server sees the line unchanged but for the time that its dial has.
+// TestFirstLine checks that a server gets the OPEN line unchanged except for the time left, which is that of its dial.
 func TestFirstLine(t *testing.T) {
 	r := newRig(2)
-	r.open(0)
-	if want := "OPEN s0 1 c=x,d=400,g=7\r\n"; r.dials[0].first != want {
-		t.Errorf("%q, want %q", r.dials[0].first, want)
+	r.startSession(0)
+	if want := "OPEN s0 1 c=x,d=400,g=7\r\n"; r.dials[0].firstLine != want {
+		t.Errorf("%q, want %q", r.dials[0].firstLine, want)
 	}
-	r.end(r.dials[0], choice.ServerFull)
-	o, err := line.ParseOpen([]byte(strings.TrimSpace(r.dials[1].first)))
-	if err != nil || o.Remaining != r.dials[1].until || r.dials[1].at == r.dials[0].at {
-		t.Errorf("%q to server %d after %d", r.dials[1].first, r.dials[1].at, r.dials[0].at)
+	r.failDial(r.dials[0], choice.ServerFull)
+	o, err := line.ParseOpen([]byte(strings.TrimSpace(r.dials[1].firstLine)))
+	if err != nil || o.Remaining != r.dials[1].deadline || r.dials[1].server == r.dials[0].server {
+		t.Errorf("second dial sends %q to server %d, the first went to server %d", r.dials[1].firstLine, r.dials[1].server, r.dials[0].server)
 	}
 }
 
-// TestStill: all sessions leave a server at which two lines are out and that has said nothing to anyone since; one
-// line alone moves its own session, later, unless a dial has failed there since it spoke, and a server that speaks keeps the others and is not taken for late.
+// TestStill checks that all sessions are moved off a server if two of them have unanswered lines and the server has answered
+// nobody since, or one of them if a dial to the server has failed since its last answer. Otherwise a single unanswered line moves
+// only its own session, later; a server that answers others keeps their sessions and does not count as late.
 func TestStill(t *testing.T) {
 	for i, c := range []struct {
-		lines    int
-		failed   bool // and a dial there has failed
-		speaks   bool
-		stays    bool
-		reason   string
-		after    time.Duration
-		comeBack bool
-	}{{1, false, true, true, "silent", aloneFactor * stillFor, true}, {1, false, false, true, "silent", aloneFactor * stillFor, true},
-		{1, true, true, true, "silent", aloneFactor * stillFor, true}, {1, true, false, false, "still", stillFor, false},
-		{2, false, false, false, "still", stillFor, false}, {2, false, false, false, "still", stillFor, false}} {
+		lines       int           // unanswered, each of another session
+		dialFails   bool          // a dial to the server fails
+		answers     bool          // the server answers another session
+		stays       bool          // the other sessions stay
+		reason      string        // of the first session's end
+		after       time.Duration // from the first line to that end
+		takesOthers bool          // the server gets new sessions afterwards
+	}{{1, false, true, true, "silent", singleSilenceFactor * silenceLimit, true}, {1, false, false, true, "silent", singleSilenceFactor * silenceLimit, true},
+		{1, true, true, true, "silent", singleSilenceFactor * silenceLimit, true}, {1, true, false, false, "still", silenceLimit, false},
+		{2, false, false, false, "still", silenceLimit, false}, {2, false, false, false, "still", silenceLimit, false}} {
 		r := newRig(1)
 		r.now = sec
 		var clients [3]*client
 		var dials [3]*dial
 		for i := range clients {
-			clients[i], dials[i] = r.opened()
+			clients[i], dials[i] = r.newOpenSession()
 		}
 		for i := range c.lines {
-			r.do(func() { clients[i].ex.FromClient([]byte("M 1\r\n"), 1) })
+			r.runEvent(func() { clients[i].session.RelayFromClient([]byte("M 1\r\n"), 1) })
 		}
-		if c.failed {
-			r.open(0)
-			r.pass(ms)
-			r.end(r.dials[len(r.dials)-1], choice.Unreachable)
+		if c.dialFails {
+			r.startSession(0)
+			r.advance(ms)
+			r.failDial(r.dials[len(r.dials)-1], choice.Unreachable)
 		}
-		for first := clients[0]; !first.over; r.do(r.sweep) {
-			r.pass(50 * ms)
+		for first := clients[0]; !first.ended; r.runEvent(r.sweep) {
+			r.advance(50 * ms)
 			switch {
-			case c.speaks:
-				r.do(func() { dials[2].ex.FromServer([]byte("M 1\r\n"), 1) })
-			case i%2 == 1: // what a server that hangs still says
-				r.do(func() { dials[2].ex.FromServer([]byte("LOAD 7\r\n"), 0) })
+			case c.answers:
+				r.runEvent(func() { dials[2].session.RelayFromServer([]byte("M 1\r\n"), 1) })
+			case i%2 == 1: // a server that hangs may go on sending its load
+				r.runEvent(func() { dials[2].session.RelayFromServer([]byte("LOAD 7\r\n"), 0) })
 			}
 			if waited := r.now - sec; waited > c.after+100*ms {
-				t.Fatalf("%+v: nothing after %v", c, waited)
+				t.Fatalf("%+v: the first session is still open after %v", c, waited)
 			}
 		}
 		waited := r.now - sec
-		if clients[0].answer != "MOVE\r\n" || clients[0].reason != c.reason || waited < c.after || clients[2].over == c.stays || r.fault != "" {
-			t.Errorf("%+v: after %v %q, the others leave %v; %s", c, waited, clients[0].reason, clients[2].over, r.fault)
+		if clients[0].lastLine != "MOVE\r\n" || clients[0].reason != c.reason || waited < c.after || clients[2].ended == c.stays || r.fault != "" {
+			t.Errorf("%+v: ended after %v with reason %q, others moved: %v; %s", c, waited, clients[0].reason, clients[2].ended, r.fault)
 		}
-		if c.lines == 1 && !c.speaks && !c.failed {
-			r.pass(2 * sec) // by then what was nearly late is forgotten
+		if c.lines == 1 && !c.answers && !c.dialFails {
+			r.advance(2 * sec) // by then the recorded delay, just below the message target, no longer counts
 		}
-		if back := r.open(0).answer != "BUSY\r\n"; back != c.comeBack {
-			t.Errorf("%+v: a client comes back to the server %v", c, back)
+		if isTaken := r.startSession(0).lastLine != "BUSY\r\n"; isTaken != c.takesOthers {
+			t.Errorf("%+v: a new session is sent to the server: %v", c, isTaken)
 		}
 	}
 }
 
-// TestOwnPause: after a pause of the proxy itself its servers are not taken for still.
+// TestOwnPause checks that servers don't count as silent for the time in which the proxy itself was held up.
 func TestOwnPause(t *testing.T) {
 	r := newRig(1)
 	r.now = sec
-	c, d := r.opened()
-	r.do(r.sweep)
-	r.do(func() { c.ex.FromClient([]byte("M 1\r\n"), 1) })
-	r.pass(2 * sec)
-	r.do(r.sweep)
-	if c.over || d.over {
-		t.Fatalf("the session is left as %q", c.reason)
-	}
-	r.pass(100 * ms)
-	r.do(r.sweep)
+	c, d := r.newOpenSession()
+	r.runEvent(r.sweep)
+	r.runEvent(func() { c.session.RelayFromClient([]byte("M 1\r\n"), 1) })
+	r.advance(2 * sec)
+	r.runEvent(r.sweep)
+	if c.ended || d.ended {
+		t.Fatalf("the session has ended with reason %q", c.reason)
+	}
+	r.advance(100 * ms)
+	r.runEvent(r.sweep)
 	if c.reason != "still" {
-		t.Errorf("%q, though the server says nothing", c.reason)
+		t.Errorf("reason %q, want still: the server answers nobody", c.reason)
 	}
 }
 
-// TestBeat: numbers in a beat are delays, others loads, also where a delay comes first.
-func TestBeat(t *testing.T) {
-	d := NewDelays(33*ms, sec, true, true)
-	var l levels
+// TestIsDelay checks that numbers one report interval apart are taken for delays and all others for loads, also where a delay
+// comes first.
+func TestIsDelay(t *testing.T) {
+	d := NewDelayTracker(33*ms, sec, true, true)
+	var reports loadReports
 	for i, c := range []struct {
 		at    time.Duration
 		level float64
@@ -409,70 +418,70 @@
 		{300 * ms, 1788, false}, {1980 * ms, 150, false}, {2980 * ms, 336, true}, {3500 * ms, 40000, false},
 		{3985 * ms, 571, true}, {4980 * ms, 50000, false}, {5500 * ms, 700, false}, {8978 * ms, 20, true},
 	} {
-		is, _ := d.isDelay(c.at, 1, &l, c.level)
-		if is != c.want {
-			t.Errorf("number %d, %v at %v: a delay is %v", i, c.level, c.at, is)
+		isDelay, _ := d.isDelay(c.at, 1, &reports, c.level)
+		if isDelay != c.want {
+			t.Errorf("number %d, %v at %v: taken for a delay: %v", i, c.level, c.at, isDelay)
 		}
-		if !is {
-			l = levels{l.n + 1, c.at, c.level, l.load}
+		if !isDelay {
+			reports = loadReports{reports.count + 1, c.at, c.level, reports.last}
 		}
 	}
 	for level, want := range map[float64]time.Duration{20: 0, 60: 60 * ms, 150: 98 * ms, 300: 0} {
-		if wait, may := d.mayBe(&levels{n: 1}, level); may != (want > 0) || may && wait != want {
-			t.Errorf("%v may be a delay is %v, %v", level, may, wait)
+		if delay, mayBe := d.mayBeDelay(&loadReports{count: 1}, level); mayBe != (want > 0) || mayBe && delay != want {
+			t.Errorf("%v may be a delay: %v, of %v", level, mayBe, delay)
 		}
 	}
-	if is, _ := NewDelays(33*ms, sec, false, true).isDelay(0, 1, &levels{}, 50); !is {
-		t.Error("a number is a load where only delays are told")
+	if isDelay, _ := NewDelayTracker(33*ms, sec, false, true).isDelay(0, 1, &loadReports{}, 50); !isDelay {
+		t.Error("a number is taken for a load though servers report only delays")
 	}
-	if is, _ := d.isDelay(9*sec, 2, &levels{n: 2, at: 8 * sec, load: 30000}, 1100); is {
-		t.Error("a load a second after another is a delay")
+	if isDelay, _ := d.isDelay(9*sec, 2, &loadReports{count: 2, lastAt: 8 * sec, last: 30000}, 1100); isDelay {
+		t.Error("a load one second after another is taken for a delay")
 	}
 }
 
-// TestResume: a session that was open before goes back to its holder, again and again until it stands.
+// TestResume checks that a session that a server already holds is dialed there repeatedly until it is open.
 func TestResume(t *testing.T) {
 	r := newRig(2)
-	c := r.open(2)
-	r.end(r.dials[0], choice.Unreachable)
-	r.pass(60 * ms)
-	if len(r.dials) != 2 || r.dials[1].at != 2 {
-		t.Fatalf("%d dials", len(r.dials))
+	c := r.startSession(2)
+	r.failDial(r.dials[0], choice.Unreachable)
+	r.advance(60 * ms)
+	if len(r.dials) != 2 || r.dials[1].server != 2 {
+		t.Fatalf("%d dials, want 2, the second one to server 2", len(r.dials))
 	}
-	r.up(r.dials[1])
-	if !c.up || c.seen != "UP 1\r\n" || r.Open() != 1 {
-		t.Errorf("up is %v, seen is %q", c.up, c.seen)
+	r.openDial(r.dials[1])
+	if !c.isOpen || c.received != "UP 1\r\n" || r.OpenCount() != 1 {
+		t.Errorf("session is open: %v, its client got %q", c.isOpen, c.received)
 	}
 }
 
-// TestDrainTold: a server's own MOVE tells the module, so that the client does not come back there.
+// TestDrainTold checks that a server's MOVE is reported to the Balancer as a drain, so that the client does not come back to it.
 func TestDrainTold(t *testing.T) {
 	r := newRig(2)
-	_, d := r.opened()
-	r.do(func() { d.ex.ServerEnded(choice.Cancelled, socket.Finished, "sent-away") })
+	_, d := r.newOpenSession()
+	r.runEvent(func() { d.session.HandleServerEnd(choice.Cancelled, socket.Finished, "sent-away") })
 	for range 20 {
-		if _, next := r.opened(); next.at == d.at || r.fault != "" {
-			t.Fatalf("dialed to server %d, which drains; %s", next.at, r.fault)
+		if _, next := r.newOpenSession(); next.server == d.server || r.fault != "" {
+			t.Fatalf("server %d was dialed, though server %d drains; %s", next.server, d.server, r.fault)
 		}
 	}
 }
 
-// TestForget: what is known of a server that has left the list goes with it, unless sessions are there.
+// TestForget checks that what is recorded of a server that has left the list is dropped, unless it holds sessions.
 func TestForget(t *testing.T) {
 	r := newRig(2)
-	for _, at := range []choice.ServerID{7, 8} {
-		r.heard[at], r.suspect[at], r.delays.servers[at], r.delays.beats[at] = sec, sec, noted{}, sec
-	}
-	r.held[8] = 1
-	r.Forget(7)
-	r.Forget(8)
-	for at, want := range map[choice.ServerID]bool{7: false, 8: true} {
-		_, heard := r.heard[at]
-		_, suspect := r.suspect[at]
-		_, of := r.delays.servers[at]
-		_, beats := r.delays.beats[at]
-		if heard != want || suspect != want || of != want || beats != want {
-			t.Errorf("of server %d: %v %v %v %v, want %v", at, heard, suspect, of, beats, want)
+	for _, server := range []choice.ServerID{7, 8} {
+		r.lastAnswerAt[server], r.suspectedAt[server], r.delays.lastReports[server], r.delays.reportPhases[server] = sec, sec, delayReport{}, sec
+	}
+	r.openPerServer[8] = 1
+	r.ForgetServer(7)
+	r.ForgetServer(8)
+	for server, want := range map[choice.ServerID]bool{7: false, 8: true} {
+		_, hasAnswer := r.lastAnswerAt[server]
+		_, isSuspected := r.suspectedAt[server]
+		_, hasReport := r.delays.lastReports[server]
+		_, hasPhase := r.delays.reportPhases[server]
+		if hasAnswer != want || isSuspected != want || hasReport != want || hasPhase != want {
+			t.Errorf("server %d: answer %v, suspicion %v, report %v, phase %v are kept, want %v", server, hasAnswer, isSuspected, hasReport, hasPhase, want)
 		}
 	}
 }
--- a/internal/exchange/silence.go
+++ b/internal/exchange/silence.go
@@ -6,92 +6,97 @@
 	"chalkferry/choice"
 )
 
-// silences is what sweeps of a table keep.
-type silences struct {
-	sweptAt time.Duration
-	waiting []*Exchange // that the sweep at hand looks at
-	servers map[choice.ServerID]silentServer
+// sweepState is what Table.Sweep keeps between calls.
+type sweepState struct {
+	sweptAt time.Duration                     // start of the last sweep
+	waiting []*Session                        // sessions that the current sweep looks at
+	servers map[choice.ServerID]serverSilence // of the servers of those sessions
 }
 
-// silentServer is what a sweep finds of a server that has answered nobody since some lines went out.
-type silentServer struct {
-	held   int // sessions there
-	late   int // of them, with a line out for longer than the mark
-	silent int // for longer than a server may say nothing
+// serverSilence counts the sessions of a server, and those of them whose lines have been out since before the server last
+// answered anyone.
+type serverSilence struct {
+	open   int // open sessions
+	late   int // of them, with a line out for longer than DelayTracker.reportThreshold
+	silent int // of them, with a line out for Table.silenceLimit or longer
 }
 
-// aloneFactor is how many times as long a line must be out to show something by itself.
-const aloneFactor = 3
+// singleSilenceFactor times Table.silenceLimit is how long a line must be out before its session is moved even if no other session
+// of the server is silent.
+const singleSilenceFactor = 3
 
-// Sweep looks for sessions that nothing comes back for. Two or more of a server that says nothing to anyone show that
-// it hangs or is cut off. One alone may be a connection that carries nothing any more while its server is well: it
-// counts for less, and is moved once it is out for longer; the next silence there counts in full, unless the server
-// has spoken since. A sweep is to come every so often. One that comes late
-// shows that this process stood still: what servers have said meanwhile is not read yet.
-func (t *Table) Sweep(every time.Duration) {
+// Sweep looks for open sessions whose lines are not answered, and is called once per interval. Two or more silent sessions of a
+// server that answers nobody show that the server hangs or is cut off: all its sessions are moved. A single one may be a
+// connection that no longer carries data while its server is fine: the delay recorded for it stays below the message target, and
+// it is moved only after a longer time. After that, the next silent session of the server is enough to move all, unless the
+// server has answered anyone since. A sweep that comes late shows that this process was held up: answers of servers may be unread
+// then, so it does nothing.
+func (t *Table) Sweep(interval time.Duration) {
 	now := t.now()
-	isLate := now-t.silences.sweptAt > 2*every
-	t.silences.sweptAt = now
+	isLate := now-t.sweep.sweptAt > 2*interval
+	t.sweep.sweptAt = now
 	if isLate {
 		return
 	}
-	t.silences.waiting = append(t.silences.waiting[:0], t.asking...)
-	t.findSilentServers(now)
-	for _, ex := range t.silences.waiting {
-		if ex.state == open && ex.asks > 0 { // it may have been moved with others
-			t.sweepSession(ex)
+	t.sweep.waiting = append(t.sweep.waiting[:0], t.awaiting...)
+	t.countSilentSessions(now)
+	for _, session := range t.sweep.waiting {
+		if session.state == open && session.unanswered > 0 { // it may have been moved with the others of its server
+			t.checkSilentSession(session)
 		}
 	}
-	clear(t.silences.waiting)
+	clear(t.sweep.waiting)
 }
 
-// findSilentServers counts, by server, the sessions that nothing comes back for.
-func (t *Table) findSilentServers(now time.Duration) {
-	clear(t.silences.servers)
-	for _, ex := range t.silences.waiting {
-		server := t.silences.servers[ex.at]
-		server.held = t.held[ex.at]
-		if waited := now - ex.askedAt; !t.hasAnswered(ex) {
-			if waited > t.delays.mark {
+// countSilentSessions counts, by server, the sessions whose lines are not answered.
+func (t *Table) countSilentSessions(now time.Duration) {
+	clear(t.sweep.servers)
+	for _, session := range t.sweep.waiting {
+		server := t.sweep.servers[session.serverID]
+		server.open = t.openPerServer[session.serverID]
+		if waited := now - session.waitingSince; !t.hasAnswered(session) {
+			if waited > t.delays.reportThreshold {
 				server.late++
 			}
-			if waited >= t.stillFor {
+			if waited >= t.silenceLimit {
 				server.silent++
 			}
 		}
-		t.silences.servers[ex.at] = server
+		t.sweep.servers[session.serverID] = server
 	}
 }
 
-// hasAnswered reports whether the server of a session has answered anyone since the session's client waits.
-func (t *Table) hasAnswered(ex *Exchange) bool { return t.heard[ex.at] > ex.askedAt }
+// hasAnswered reports whether the session's server has answered any session since this session's client began to wait.
+func (t *Table) hasAnswered(session *Session) bool {
+	return t.lastAnswerAt[session.serverID] > session.waitingSince
+}
 
-// sweepSession acts on one session that nothing comes back for.
-func (t *Table) sweepSession(ex *Exchange) {
-	waited, server, hasAnswered := t.now()-ex.askedAt, t.silences.servers[ex.at], t.hasAnswered(ex)
-	isLong := waited >= aloneFactor*t.stillFor
-	isSuspect := t.suspect[ex.at] > t.heard[ex.at]
+// checkSilentSession moves a session whose line is not answered, alone or with all others of its server, or records the delay.
+func (t *Table) checkSilentSession(session *Session) {
+	waited, server, hasAnswered := t.now()-session.waitingSince, t.sweep.servers[session.serverID], t.hasAnswered(session)
+	isLong := waited >= singleSilenceFactor*t.silenceLimit
+	isSuspect := t.suspectedAt[session.serverID] > t.lastAnswerAt[session.serverID]
 	switch {
-	case !hasAnswered && (server.silent > 1 || server.silent == 1 && isSuspect || server.held == 1 && isLong):
-		t.abandon(ex.at, waited)
+	case !hasAnswered && (server.silent > 1 || server.silent == 1 && isSuspect || server.open == 1 && isLong):
+		t.abandonServer(session.serverID, waited)
 	case isLong:
-		t.suspect[ex.at] = t.now()
-		ex.move(choice.Cancelled, "silent")
+		t.suspectedAt[session.serverID] = t.now()
+		session.move(choice.Cancelled, "silent")
 	case !hasAnswered && server.late > 1:
-		t.delays.Waiting(t.now(), ex.at, waited)
+		t.delays.RecordWaiting(t.now(), session.serverID, waited)
 	case !hasAnswered:
-		t.delays.Waiting(t.now(), ex.at, min(waited, t.delays.nearlyLate()))
+		t.delays.RecordWaiting(t.now(), session.serverID, min(waited, t.delays.maxInTimeDelay()))
 	}
 }
 
-// abandon moves all sessions off a server that is silent: it hangs, or its machine is cut off. The module would
-// relieve it bit by bit, as of one that is overloaded, but a server that serves some of its sessions says so. It is
-// notified of the delay once they are gone, so that their clients don't come back there and no limit is learnt.
-func (t *Table) abandon(at choice.ServerID, waited time.Duration) {
-	for i := len(t.open) - 1; i >= 0; i-- {
-		if ex := t.open[i]; ex.at == at {
-			ex.move(choice.Cancelled, "still")
+// abandonServer moves all sessions off a server that hangs or is cut off. The Balancer would move them off bit by bit, as off an
+// overloaded server, but an overloaded one still answers some of its sessions. The delay is recorded once the sessions are gone:
+// it keeps their clients from coming back to the server, and the Balancer does not learn a capacity limit from it.
+func (t *Table) abandonServer(server choice.ServerID, waited time.Duration) {
+	for i := len(t.openSessions) - 1; i >= 0; i-- {
+		if session := t.openSessions[i]; session.serverID == server {
+			session.move(choice.Cancelled, "still")
 		}
 	}
-	t.later(func() { t.balancer.RecordServerDelay(t.now(), at, waited) })
+	t.runAfterEvent(func() { t.balancer.RecordServerDelay(t.now(), server, waited) })
 }
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -17,13 +17,13 @@
 	p.connectionArrived = true
 	client := p.clients.New()
 	c := p.take(conn, client)
-	client.Serve(c)
+	client.SetConn(c)
 	client.Admit()
 }
 
 // take wraps a connection of the event loop for its owner and counts its descriptor.
 func (p *Proxy) take(conn *eventloop.Conn, owner socket.Owner) *socket.Conn {
-	p.connectionLimit.Take(1)
+	p.connectionLimit.Acquire(1)
 	c := socket.New(conn, owner, p.connectionLimit, p.timers, p.afterEvent, p.lingerTimeout(), maxUnsentBytes)
 	conn.SetContext(c)
 	return c
@@ -34,7 +34,7 @@
 	p.beginEvent()
 	defer p.endEvent()
 	if c, ok := conn.Context().(*socket.Conn); ok {
-		c.Traffic()
+		c.HandleTraffic()
 	}
 }
 
@@ -43,7 +43,7 @@
 	p.beginEvent()
 	defer p.endEvent()
 	if c, ok := conn.Context().(*socket.Conn); ok {
-		c.Failed(err)
+		c.HandleBroken(err)
 	}
 }
 
@@ -52,6 +52,6 @@
 	p.beginEvent()
 	defer p.endEvent()
 	if c, ok := conn.Context().(*socket.Conn); ok {
-		c.Closed(err)
+		c.HandleClose(err)
 	}
 }
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -29,7 +29,7 @@
 			fmt.Fprint(d.Conn, openLine())
 			<-held.connected
 			leave(d)
-			r.waitFor("the proxy has noticed that the client left", func() bool { return r.p.table.Len() == 0 })
+			r.waitFor("the proxy has noticed that the client left", func() bool { return r.p.table.SessionCount() == 0 })
 			held.handOver <- true
 			s.expectNoBytes(r, 1)
 			r.expectIdle()
@@ -101,10 +101,10 @@
 			<-held.connected
 			held.handOver <- true
 			r.waitFor("the line waits for the send buffer", func() bool {
-				return r.p.table.Len() == 1 && r.p.connector.Out() == 0
+				return r.p.table.SessionCount() == 1 && r.p.connector.ConnectCount() == 0
 			})
 			leave(d)
-			r.waitFor("the proxy has noticed that the client left", func() bool { return r.p.table.Len() == 0 })
+			r.waitFor("the proxy has noticed that the client left", func() bool { return r.p.table.SessionCount() == 0 })
 			conn, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
@@ -140,7 +140,7 @@
 				<-held.connected
 				held.handOver <- true
 				r.waitFor("the line is in the send buffer", func() bool {
-					return r.p.table.Len() == 1 && r.p.connector.Out() == 0
+					return r.p.table.SessionCount() == 1 && r.p.connector.ConnectCount() == 0
 				})
 				if givenUp {
 					held = r.holdConnects(false, false)
@@ -149,7 +149,7 @@
 					<-lineReceived
 				}
 				leave(d)
-				r.waitFor("the proxy has noticed that the client left", func() bool { return r.p.table.Len() == 0 })
+				r.waitFor("the proxy has noticed that the client left", func() bool { return r.p.table.SessionCount() == 0 })
 				conn, err := l.Accept()
 				if err != nil {
 					t.Fatal(err)
@@ -234,10 +234,10 @@
 			d := connect(t, r.address)
 			fmt.Fprint(d.Conn, "OPEN aa 1 c=chat,d=800,at=s-1\r\n")
 			r.waitFor("the session waits for another try", func() bool {
-				return r.p.table.Len() == 1 && r.p.connector.Out() == 0
+				return r.p.table.SessionCount() == 1 && r.p.connector.ConnectCount() == 0
 			})
 			leave(d)
-			r.waitFor("the proxy has noticed that the client left", func() bool { return r.p.table.Len() == 0 })
+			r.waitFor("the proxy has noticed that the client left", func() bool { return r.p.table.SessionCount() == 0 })
 			r.applyList(2, serverEntry("s-1", s.address, "ready"))
 			time.Sleep(2 * r.p.settings.connectTimeout) // a further try would have started by now
 			s.expectNoBytes(r, 0)
@@ -266,7 +266,7 @@
 	leftAt := time.Now()
 	time.Sleep(3 * leaveGrace) // the event loop is stalled for longer than leaveGrace
 	release()
-	r.waitFor("no session or connect is left", func() bool { return r.p.table.Len() == 0 && r.p.connector.Out() == 0 })
+	r.waitFor("no session or connect is left", func() bool { return r.p.table.SessionCount() == 0 && r.p.connector.ConnectCount() == 0 })
 	s.expectNoBytes(r, 0)
 	if took := time.Since(leftAt); took > 5*time.Second {
 		t.Errorf("all is done %v after the clients left, want at most 5 s", took)
@@ -291,7 +291,7 @@
 					return d
 				}
 				waiting := ask()
-				r.waitFor("the client waits", func() bool { return r.p.table.Len() == 1 })
+				r.waitFor("the client waits", func() bool { return r.p.table.SessionCount() == 1 })
 				leaveCalledAt, endedAfter := time.Now(), make(chan time.Duration, 1)
 				go func() {
 					if err := <-r.ended; err != nil {
@@ -537,7 +537,7 @@
 				startedAt := time.Now()
 				<-held.connected
 				held.handOver <- true
-				r.waitFor("the line waits for the send buffer", func() bool { return r.p.connector.Out() == 0 })
+				r.waitFor("the line waits for the send buffer", func() bool { return r.p.connector.ConnectCount() == 0 })
 				held = r.holdConnects(false, false)
 				close(held.handOver)
 				r.applyList(2, serverEntry("s-1", l.Addr().String(), "ready"), serverEntry("s-2", s.address, "ready"))
@@ -651,7 +651,7 @@
 			for range strings.Count(before, "PING") {
 				d.expectLine("PONG\r\n")
 			}
-			r.waitFor("the connection is accepted", func() bool { return r.p.clients.Idle() == 1 })
+			r.waitFor("the connection is accepted", func() bool { return r.p.clients.IdleCount() == 1 })
 			release := r.stallLoop()
 			time.Sleep(r.p.settings.helloTimeout + 100*time.Millisecond)
 			fmt.Fprint(d.Conn, strings.TrimPrefix(openLine(), before))
@@ -719,15 +719,15 @@
 func TestCrowdedOut(t *testing.T) {
 	r := startTestProxy(t)
 	d := connect(t, r.address)
-	r.waitFor("the connection is accepted", func() bool { return r.p.clients.Idle() == 1 })
+	r.waitFor("the connection is accepted", func() bool { return r.p.clients.IdleCount() == 1 })
 	release := r.stallLoop()
 	fmt.Fprint(d.Conn, openLine())
 	done := make(chan bool)
 	r.p.execute(func() {
-		r.p.connectionLimit.Take(250)
-		r.p.connectionLimit.Spare(func() {})
-		r.p.connectionLimit.Relieve()
-		r.p.connectionLimit.Give(250)
+		r.p.connectionLimit.Acquire(250)
+		r.p.connectionLimit.AddSpare(func() {})
+		r.p.connectionLimit.EvictSpare()
+		r.p.connectionLimit.Release(250)
 		close(done)
 	})
 	release()
@@ -817,7 +817,7 @@
 	conn := <-lineReceived
 	resumes := connect(t, r.address)
 	fmt.Fprint(resumes.Conn, "OPEN bb 1 c=chat,d=800,at=s-9\r\n")
-	r.waitFor("the second session waits for its server", func() bool { return r.p.table.Len() == 2 })
+	r.waitFor("the second session waits for its server", func() bool { return r.p.table.SessionCount() == 2 })
 	renamed := strings.NewReplacer(`"listeners":[{"name":"chat"`,
 		`"listeners":[{"name":"other","dialTimeout":5000,"effect":"read_like","utility":9},{"name":"talk"`, "non_idempotent", "read_like")
 	for _, next := range []string{renamed.Replace(r.configText), r.configText, renamed.Replace(r.configText)} {
--- a/internal/proxy/leave.go
+++ b/internal/proxy/leave.go
@@ -36,8 +36,8 @@
 		panic(fmt.Sprintf("the proxy goes from phase %d to %d", p.phase, next))
 	}
 	p.phase = next
-	p.log.Info().Stringer("phase", next).Int("sessions", p.table.Len()).Int("open", p.table.Open()).
-		Int("idle", p.clients.Idle()).Int("connecting", p.connector.Out()).Msg("phase")
+	p.log.Info().Stringer("phase", next).Int("sessions", p.table.SessionCount()).Int("open", p.table.OpenCount()).
+		Int("idle", p.clients.IdleCount()).Int("connecting", p.connector.ConnectCount()).Msg("phase")
 }
 
 // Leave starts the shutdown (SIGTERM) once the event loop runs; further calls do nothing. New connections are still served.
@@ -52,7 +52,7 @@
 			return
 		}
 		p.enterPhase(leaving)
-		p.log.Info().Int("sessions", p.table.Len()).Msg("leaving")
+		p.log.Info().Int("sessions", p.table.SessionCount()).Msg("leaving")
 		stoodStillFor := p.recentStandstill()
 		p.timers.After(p.shutdownTime(1)+killMargin/2, p.endBeforeKill)
 		if stoodStillFor > 0 { // the signal may have been sent that much earlier, and the kill comes that much earlier
@@ -75,11 +75,11 @@
 // moveSessions moves an equal part of the open sessions in each of the remaining steps, and sessions that have come since
 // in further steps. Once none is left it goes on with endWhenIdle.
 func (p *Proxy) moveSessions(stepsLeft int) {
-	if stepsLeft <= 0 && p.table.Len() == 0 {
+	if stepsLeft <= 0 && p.table.SessionCount() == 0 {
 		p.endWhenIdle()
 		return
 	}
-	if open := p.table.Open(); open > 0 {
+	if open := p.table.OpenCount(); open > 0 {
 		p.table.MoveSome((open + max(stepsLeft, 1) - 1) / max(stepsLeft, 1))
 	}
 	p.timers.After(p.shutdownTime(moveSpanShare)/shutdownSteps, func() { p.moveSessions(stepsLeft - 1) })
@@ -89,13 +89,13 @@
 // then clients in the kernel's accept queue, then final lines that are not sent yet. Open sessions that pass through the
 // proxy are not ended: another proxy carries their packets on.
 func (p *Proxy) endWhenIdle() {
-	waiting := p.table.Len() - p.table.Open()
+	waiting := p.table.SessionCount() - p.table.OpenCount()
 	switch {
 	case p.phase == gone:
 		return
 	case waiting > 0:
-	case !p.settings.passThrough && p.table.Open() > 0: // opened since the last move
-		p.table.MoveSome(p.table.Open())
+	case !p.settings.passThrough && p.table.OpenCount() > 0: // opened since the last move
+		p.table.MoveSome(p.table.OpenCount())
 	case p.phase == leaving:
 		if p.stopAccepting() {
 			p.enterPhase(closing)
@@ -106,9 +106,9 @@
 		p.connectionArrived = true
 	case p.connectionArrived:
 		p.connectionArrived = false
-	case p.clients.Idle() > 0: // the answer also covers a line that the client sends at the same time
-		p.clients.Dismiss()
-	case p.now() < p.closingDeadline && (p.connectionLimit.Spares() > 0 || p.connector.Out() > 0):
+	case p.clients.IdleCount() > 0: // the answer also covers a line that the client sends at the same time
+		p.clients.CloseIdle()
+	case p.now() < p.closingDeadline && (p.connectionLimit.SpareCount() > 0 || p.connector.ConnectCount() > 0):
 	default:
 		p.exit()
 		return
@@ -136,7 +136,7 @@
 	if p.phase == gone {
 		return
 	}
-	p.log.Warn().Int("sessions", p.table.Len()).Int("open", p.table.Open()).Msg("last call")
+	p.log.Warn().Int("sessions", p.table.SessionCount()).Int("open", p.table.OpenCount()).Msg("last call")
 	p.answerAndMoveAll()
 	p.timers.After(killMargin/8, func() { // time for the final lines to be sent
 		if p.phase != gone {
@@ -164,10 +164,10 @@
 
 // answerAndMoveAll gives each waiting client its answer and, where sessions end at the proxy, moves all open ones.
 func (p *Proxy) answerAndMoveAll() {
-	p.table.GiveUp()
-	p.clients.Dismiss()
+	p.table.AbortPending()
+	p.clients.CloseIdle()
 	if !p.settings.passThrough {
-		p.table.MoveSome(p.table.Open())
+		p.table.MoveSome(p.table.OpenCount())
 	}
 }
 
@@ -175,7 +175,7 @@
 // stopping the event loop.
 func (p *Proxy) exit() {
 	p.enterPhase(gone)
-	p.log.Info().Int("sessions", p.table.Len()).Msg("left")
+	p.log.Info().Int("sessions", p.table.SessionCount()).Msg("left")
 	if p.settings.passThrough {
 		close(p.exitNow)
 		return
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -46,7 +46,7 @@
 			time.Sleep(leaveGrace * 3 / 2)
 			release()
 			waiting.expectLine("UP 1\r\n")
-			r.waitFor("only the waiting client's session is left", func() bool { return r.p.table.Len() == 1 && r.p.connector.Out() == 0 })
+			r.waitFor("only the waiting client's session is left", func() bool { return r.p.table.SessionCount() == 1 && r.p.connector.ConnectCount() == 0 })
 			if count := connects.Load(); count != 1 {
 				t.Errorf("%d connects for one waiting client", count)
 			}
@@ -91,7 +91,7 @@
 				}
 				time.Sleep(leaveGrace * 3 / 2)
 				release()
-				r.waitFor("the session is over", func() bool { return r.p.table.Len() == 0 && r.p.connector.Out() == 0 })
+				r.waitFor("the session is over", func() bool { return r.p.table.SessionCount() == 0 && r.p.connector.ConnectCount() == 0 })
 				if count := connects.Load(); count != 1 {
 					t.Errorf("%d connects, want only the one before the client left", count)
 				}
@@ -112,7 +112,7 @@
 			d := connect(t, r.address)
 			fmt.Fprint(d.Conn, "OPEN aa 1 c=chat,d=800,at=s-1\r\n")
 			r.waitFor("the session waits for another try", func() bool {
-				return r.p.table.Len() == 1 && r.p.connector.Out() == 0
+				return r.p.table.SessionCount() == 1 && r.p.connector.ConnectCount() == 0
 			})
 			connects := r.countConnects()
 			release := r.stallLoop()
@@ -120,7 +120,7 @@
 			leave(d)
 			time.Sleep(2 * r.p.settings.connectTimeout)
 			release()
-			r.waitFor("the session is over", func() bool { return r.p.table.Len() == 0 && r.p.connector.Out() == 0 })
+			r.waitFor("the session is over", func() bool { return r.p.table.SessionCount() == 0 && r.p.connector.ConnectCount() == 0 })
 			if count := connects.Load(); count != before {
 				t.Errorf("%d connects after the client left", count-before)
 			}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -154,7 +154,7 @@
 	p.connector = servers.NewConnector(p.execute, p.connectionLimit, p.take, settings.connectTimeout, p.failures)
 	dialer := servers.New(p.connector, p.directory, p.timers, p.connectionLimit, p.now, p.whenListCurrent, p.log)
 	after := func(delay time.Duration, callback func()) { p.timers.After(delay, callback) }
-	delays := exchange.NewDelays(settings.slowMessageThreshold, reportInterval, settings.serversReportLoad, settings.serversReportDelay)
+	delays := exchange.NewDelayTracker(settings.slowMessageThreshold, reportInterval, settings.serversReportLoad, settings.serversReportDelay)
 	p.table = exchange.NewTable(dialer, p.now, p.afterEvent, after, settings.connectTimeout, settings.serverSilenceLimit, delays)
 	p.clients = clients.New(p.table, p.timers, p.connectionLimit, p.now, settings.helloTimeout, p.directory.listedID,
 		settings.listenerIDs, settings.tenantIDs, settings.hasGroups, p.log)
@@ -185,7 +185,7 @@
 	t := p.settings
 	p.balancer = choice.New(balancerFront{p.table, p}, rand.New(rand.NewSource(seed)), t.listeners, t.dials, t.budget,
 		t.list, t.cold, t.peerReports)
-	p.table.Serve(p.balancer)
+	p.table.SetBalancer(p.balancer)
 	if t.listPushed {
 		p.clients.DelayPings()
 		// A discovery service that stays silent must not keep the proxy out of rotation.
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -37,7 +37,7 @@
 		changedNames := changedStartFields(p.configText, configText)
 		p.configText = configText
 		p.limitMemory(next.limits)
-		p.connectionLimit.Take(p.limits.Sockets - next.limits.Sockets)
+		p.connectionLimit.Acquire(p.limits.Sockets - next.limits.Sockets)
 		p.limits = next.limits
 		if endpoint != nil {
 			p.peers = endpoint
@@ -69,10 +69,10 @@
 // session under the settings that it arrived under, and first lines that were sent are still answered by their servers.
 func (p *Proxy) applySettings(settings *runtimeSettings) {
 	p.settings = settings
-	p.connector.Change(settings.connectTimeout)
-	p.table.Change(settings.connectTimeout, settings.serverSilenceLimit, settings.slowMessageThreshold,
+	p.connector.SetTimeout(settings.connectTimeout)
+	p.table.Reconfigure(settings.connectTimeout, settings.serverSilenceLimit, settings.slowMessageThreshold,
 		settings.serversReportLoad, settings.serversReportDelay)
-	p.clients.Change(settings.helloTimeout, settings.listenerIDs, settings.tenantIDs, settings.hasGroups)
+	p.clients.Reconfigure(settings.helloTimeout, settings.listenerIDs, settings.tenantIDs, settings.hasGroups)
 	p.directory.applySettings(settings.zones, settings.list.OnlyDrainsExclude, settings.learnModels)
 	p.watcher.SetTimeouts(settings.discoveryConnectTimeout, settings.watchAnswerTimeout)
 	if !settings.peerReports.Enabled && p.peers != nil {
--- a/internal/proxy/rig_test.go
+++ b/internal/proxy/rig_test.go
@@ -339,7 +339,7 @@
 func (r *testProxy) expectIdle() {
 	r.Helper()
 	r.waitFor("no session or connect is left and all descriptors are free", func() bool {
-		return r.p.table.Len() == 0 && r.p.connector.Out() == 0 && r.p.connectionLimit.Free() == r.freeConnections
+		return r.p.table.SessionCount() == 0 && r.p.connector.ConnectCount() == 0 && r.p.connectionLimit.Free() == r.freeConnections
 	})
 }
 
--- a/internal/proxy/share.go
+++ b/internal/proxy/share.go
@@ -16,7 +16,7 @@
 // publishTally counts the open sessions, publishes the result and schedules itself again after reportInterval.
 func (p *Proxy) publishTally(tally *sharing.Tally) {
 	tally.Begin()
-	p.table.EachOpen(func(server choice.ServerID, session *line.Open) { tally.Add(server, session) })
+	p.table.ForEachOpen(func(server choice.ServerID, session *line.Open) { tally.Add(server, session) })
 	p.publishFacts(tally.Finish(p.serverName))
 	p.timers.After(reportInterval, func() { p.publishTally(tally) })
 }
--- a/internal/proxy/slopes_test.go
+++ b/internal/proxy/slopes_test.go
@@ -116,17 +116,17 @@
 // silentPeer is a client or a server that accepts everything and sends nothing.
 type silentPeer struct{}
 
-func (silentPeer) Write([]byte)           {}
-func (silentPeer) Up()                    {}
-func (silentPeer) Answer([]byte, string)  {}
-func (silentPeer) End(socket.End, string) {}
-func (silentPeer) Waits() bool            { return true }
-func (silentPeer) Gone() bool             { return false }
+func (silentPeer) Write([]byte)            {}
+func (silentPeer) StartRelay()             {}
+func (silentPeer) Finish([]byte, string)   {}
+func (silentPeer) End(socket.End, string)  {}
+func (silentPeer) EnsureWaiting() bool     { return true }
+func (silentPeer) HasStoppedWaiting() bool { return false }
 
 // instantDialer records the latest dial, which the test then completes itself.
-type instantDialer struct{ latest *exchange.Exchange }
+type instantDialer struct{ latest *exchange.Session }
 
-func (d *instantDialer) Dial(_ choice.ServerID, _ time.Duration, ex *exchange.Exchange) exchange.Server {
+func (d *instantDialer) Dial(_ choice.ServerID, _ time.Duration, ex *exchange.Session) exchange.Server {
 	d.latest = ex
 	return silentPeer{}
 }
@@ -141,18 +141,18 @@
 	clock := func() time.Duration { return 0 }
 	p.timers = timers.New(clock, func(time.Duration) {})
 	p.table = exchange.NewTable(dialer, clock, func(func()) {}, func(time.Duration, func()) {}, time.Second, time.Second,
-		exchange.NewDelays(time.Second, reportInterval, false, false))
+		exchange.NewDelayTracker(time.Second, reportInterval, false, false))
 	p.balancer = choice.New(slopeFront{balancerFront{p.table, p}}, rand.New(rand.NewSource(1)), p.settings.listeners, p.settings.dials, p.settings.budget,
 		p.settings.list, p.settings.cold, p.settings.peerReports)
-	p.table.Serve(p.balancer)
+	p.table.SetBalancer(p.balancer)
 	p.balancer.ApplyList(0, choice.ListFull, p.directory.entriesOf(slopeList(servers)))
 	for i := range sessions {
 		text := fmt.Appendf(nil, "OPEN s%d k%d c=chat,t=topic-%d,d=800", i, i, i%slopeTenants)
-		p.table.Begin(silentPeer{}, choice.Arrival{Client: choice.Key(i + 1), Group: choice.Key(i/4 + 1), TimeLeft: time.Second}, text, 0)
-		dialer.latest.Opened([]byte("UP 1\r\n"))
+		p.table.StartSession(silentPeer{}, choice.Arrival{Client: choice.Key(i + 1), Group: choice.Key(i/4 + 1), TimeLeft: time.Second}, text, 0)
+		dialer.latest.HandleOpened([]byte("UP 1\r\n"))
 	}
-	if p.table.Open() != sessions {
-		b.Fatalf("%d of %d sessions are open", p.table.Open(), sessions)
+	if p.table.OpenCount() != sessions {
+		b.Fatalf("%d of %d sessions are open", p.table.OpenCount(), sessions)
 	}
 	return p
 }
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -23,7 +23,7 @@
 		kind = choice.ListFull
 	}
 	p.balancer.ApplyList(p.now(), kind, p.directory.entriesOf(list))
-	p.directory.eachGone(p.table.Forget)
+	p.directory.eachGone(p.table.ForgetServer)
 	ready, draining := p.directory.countByStatus()
 	p.log.Info().Uint64("revision", list.Revision).Bool("complete", list.Complete).Int("entries", len(list.Servers)).
 		Int("ready", ready).Int("draining", draining).Msg("list")
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -17,8 +17,8 @@
 	"chalkferry/internal/timers"
 )
 
-// connecting costs two descriptors, as the event loop has its own copy for a moment.
-const connecting = 2
+// descriptorsPerConnect costs two descriptors, as the event loop has its own copy for a moment.
+const descriptorsPerConnect = 2
 
 // Directory knows the servers as they were listed last.
 type Directory interface {
@@ -39,10 +39,10 @@
 	Loop            Loop
 	execute         func(func()) // on the event loop
 	connectionLimit *socket.ConnectionLimit
-	take            func(*eventloop.Conn, socket.Owner) *socket.Conn
+	wrap            func(*eventloop.Conn, socket.Owner) *socket.Conn
 	timeout         time.Duration
 	failures        *failure.Log
-	out             int // under way
+	connectCount    int // under way
 	// Dial connects; a test may put its own here before the first dial.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
@@ -50,18 +50,18 @@
 // NewConnector makes a connector that gives up after a timeout.
 func NewConnector(execute func(func()), connectionLimit *socket.ConnectionLimit, take func(*eventloop.Conn, socket.Owner) *socket.Conn,
 	timeout time.Duration, failures *failure.Log) *Connector {
-	return &Connector{execute: execute, connectionLimit: connectionLimit, take: take, timeout: timeout, failures: failures,
+	return &Connector{execute: execute, connectionLimit: connectionLimit, wrap: take, timeout: timeout, failures: failures,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			var dialer net.Dialer
 			return dialer.DialContext(ctx, "tcp", address)
 		}}
 }
 
-// Change sets another time for connections to be established.
-func (c *Connector) Change(timeout time.Duration) { c.timeout = timeout }
+// SetTimeout sets another time for connections to be established.
+func (c *Connector) SetTimeout(timeout time.Duration) { c.timeout = timeout }
 
-// Out is how many connects are under way.
-func (c *Connector) Out() int { return c.out }
+// ConnectCount is how many connects are under way.
+func (c *Connector) ConnectCount() int { return c.connectCount }
 
 // Opener takes over a connection that is established.
 type Opener interface {
@@ -71,12 +71,12 @@
 
 // connect calls either opener.Open or failed, on the event loop.
 func (c *Connector) connect(address string, opener Opener, failed func(error)) context.CancelFunc {
-	c.connectionLimit.Take(connecting)
-	c.out++
+	c.connectionLimit.Acquire(descriptorsPerConnect)
+	c.connectCount++
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	ended := func() {
-		c.out--
-		c.connectionLimit.Give(connecting)
+		c.connectCount--
+		c.connectionLimit.Release(descriptorsPerConnect)
 	}
 	dial := c.Dial
 	go func() {
@@ -110,25 +110,25 @@
 type state int
 
 const (
-	reaching state = iota // the first line is not sent: the connection does not stand yet, or the list is awaited
-	asked                 // the first line is out
-	up
-	over
+	connecting     state = iota // the first line is not sent: the connection does not stand yet, or the list is awaited
+	awaitingAnswer              // the first line is out
+	open
+	ended
 )
 
 // Dial is one dial of a session.
 type Dial struct {
-	servers *Servers
-	ex      *exchange.Exchange
-	at      choice.ServerID
-	state   state
-	edition int // of the server that was chosen
-	since   time.Duration
-	wait    time.Duration // from then on
-	limit   *timers.Timer
-	cancel  context.CancelFunc
-	conn    *socket.Conn
-	parting choice.Outcome // what the server's last line has announced
+	servers   *Servers
+	session   *exchange.Session
+	serverID  choice.ServerID
+	state     state
+	edition   int // of the server that was chosen
+	startedAt time.Duration
+	timeout   time.Duration // from then on
+	timer     *timers.Timer
+	cancel    context.CancelFunc
+	conn      *socket.Conn
+	announced choice.Outcome // what the server's last line has announced
 
 	connectErr error // why the connection was never established
 }
@@ -152,13 +152,13 @@
 }
 
 // Dial starts a dial. The limit covers connecting and the answer.
-func (s *Servers) Dial(at choice.ServerID, limit time.Duration, ex *exchange.Exchange) exchange.Server {
+func (s *Servers) Dial(at choice.ServerID, limit time.Duration, session *exchange.Session) exchange.Server {
 	address, _, known := s.directory.Address(at)
-	if !known || s.connectionLimit.Free() < connecting {
+	if !known || s.connectionLimit.Free() < descriptorsPerConnect {
 		return nil
 	}
-	d := &Dial{servers: s, ex: ex, at: at, edition: s.directory.Edition(at), since: s.now(), wait: limit}
-	d.limit = s.timers.After(limit, d.late)
+	d := &Dial{servers: s, session: session, serverID: at, edition: s.directory.Edition(at), startedAt: s.now(), timeout: limit}
+	d.timer = s.timers.After(limit, d.handleTimeout)
 	d.cancel = s.connector.connect(address, d, func(err error) {
 		d.connectErr = err
 		if failure.Classify(failure.Connect, err) == failure.Exhausted { // that is not the server's doing
@@ -172,8 +172,8 @@
 
 // Open takes the connection over, and has the first line sent once the list is known.
 func (d *Dial) Open(conn *eventloop.Conn) {
-	d.conn = d.servers.connector.take(conn, d)
-	if d.state != reaching {
+	d.conn = d.servers.connector.wrap(conn, d)
+	if d.state != connecting {
 		d.conn.Reset()
 		return
 	}
@@ -184,32 +184,32 @@
 // the one that was chosen, of a client that has left no byte goes out, and what the dial was placed by must still hold.
 func (d *Dial) sendFirstLine() {
 	switch {
-	case d.state != reaching:
+	case d.state != connecting:
 		return
-	case !d.servers.directory.Ready(d.at) && !d.ex.Resumes():
+	case !d.servers.directory.Ready(d.serverID) && !d.session.IsResuming():
 		d.fail(choice.Unreachable, socket.Reset, "drains")
 		return
-	case d.servers.directory.Edition(d.at) != d.edition:
+	case d.servers.directory.Edition(d.serverID) != d.edition:
 		d.fail(choice.NotSent, socket.Reset, "listed-anew")
 		return
-	case !d.ex.ClientWaits():
+	case !d.session.EnsureClientWaiting():
 		return // it has ended this dial, too
-	case d.servers.now()-d.since >= d.wait:
-		d.late()
+	case d.servers.now()-d.startedAt >= d.timeout:
+		d.handleTimeout()
 		return
-	case !d.ex.Goes():
+	case !d.session.MaySendFirstLine():
 		d.fail(choice.NotSent, socket.Reset, "too-late")
 		return
 	}
-	d.state = asked
-	d.conn.Write(d.ex.FirstLine(d.since + d.wait - d.servers.now())) // its connection has taken some of it
+	d.state = awaitingAnswer
+	d.conn.Write(d.session.FirstLine(d.startedAt + d.timeout - d.servers.now())) // its connection has taken some of it
 }
 
-func (d *Dial) late() {
+func (d *Dial) handleTimeout() {
 	switch {
-	case d.state == reaching, d.state == asked && d.conn.Unsent() > 0: // the line is cut, and can't be whole any more
+	case d.state == connecting, d.state == awaitingAnswer && d.conn.Unsent() > 0: // the line is cut, and can't be whole any more
 		d.fail(choice.Unreachable, socket.Reset, "unreachable")
-	case d.state == asked:
+	case d.state == awaitingAnswer:
 		// Reset, as what this machine still holds for a server that is cut off would reach it once it is back.
 		d.fail(choice.TimedOut, socket.Reset, "unanswered")
 	}
@@ -217,9 +217,9 @@
 
 // fail ends a dial that brought nothing up.
 func (d *Dial) fail(outcome choice.Outcome, how socket.End, reason string) {
-	if d.state == reaching || d.state == asked {
+	if d.state == connecting || d.state == awaitingAnswer {
 		d.End(how, reason)
-		d.ex.Failed(outcome)
+		d.session.HandleDialFailure(outcome)
 	}
 }
 
@@ -228,15 +228,15 @@
 // End ends the dial for good; nothing that still comes counts.
 func (d *Dial) End(how socket.End, reason string) {
 	was := d.state
-	if was == over {
+	if was == ended {
 		return
 	}
-	d.state = over
+	d.state = ended
 	d.cancel()
-	d.servers.timers.Stop(d.limit)
+	d.servers.timers.Stop(d.timer)
 	switch {
 	case d.conn == nil:
-	case was == asked && d.conn.Unsent() > 0: // the rest of a first line given up must not go out later
+	case was == awaitingAnswer && d.conn.Unsent() > 0: // the rest of a first line given up must not go out later
 		d.conn.Reset()
 	default:
 		d.conn.EndAs(how)
@@ -246,9 +246,9 @@
 
 // logEnd leaves the line about a dial that ends.
 func (d *Dial) logEnd(how socket.End, reason string) {
-	_, name, _ := d.servers.directory.Address(d.at)
-	e := d.servers.log.Info().Str("side", "server").Str("server", name).Str("id", d.ex.Name()).Str("reason", reason).
-		Stringer("end", how).Dur("ms", d.servers.now()-d.since)
+	_, name, _ := d.servers.directory.Address(d.serverID)
+	e := d.servers.log.Info().Str("side", "server").Str("server", name).Str("id", d.session.ID()).Str("reason", reason).
+		Stringer("end", how).Dur("ms", d.servers.now()-d.startedAt)
 	if d.conn != nil && d.conn.Err() != nil {
 		e = e.AnErr("cause", d.conn.Err())
 	}
@@ -261,7 +261,7 @@
 // Read takes whole lines.
 func (d *Dial) Read(buf []byte) int {
 	used := 0
-	if d.state == asked {
+	if d.state == awaitingAnswer {
 		text, size, err := line.Next(buf)
 		if err != nil {
 			d.fail(choice.Failed, socket.Reset, "malformed")
@@ -270,27 +270,27 @@
 		if size == 0 {
 			return 0
 		}
-		d.answer(text, buf[:size])
+		d.handleAnswer(text, buf[:size])
 		used = size
 	}
-	if d.state != up {
+	if d.state != open {
 		return len(buf)
 	}
-	return used + d.pass(buf[used:])
+	return used + d.relay(buf[used:])
 }
 
-// answer takes the first line that comes back.
-func (d *Dial) answer(text, whole []byte) {
+// handleAnswer takes the first line that comes back.
+func (d *Dial) handleAnswer(text, whole []byte) {
 	switch string(line.Verb(text)) {
 	case "UP":
-		d.state = up
-		d.servers.timers.Stop(d.limit)
-		d.ex.Opened(whole)
+		d.state = open
+		d.servers.timers.Stop(d.timer)
+		d.session.HandleOpened(whole)
 	case "BUSY":
 		d.fail(choice.ServerFull, socket.Finished, "full")
 	case "BYE":
 		d.End(socket.Finished, "ended")
-		d.ex.Ended(whole)
+		d.session.HandleEndBeforeOpen(whole)
 	case "MOVE":
 		d.fail(choice.Cancelled, socket.Finished, "sent-away")
 	case "ERR":
@@ -301,61 +301,61 @@
 	}
 }
 
-// pass hands all whole lines on at once.
-func (d *Dial) pass(buf []byte) int {
+// relay hands all whole lines on at once.
+func (d *Dial) relay(buf []byte) int {
 	used, answers := 0, 0
 	for {
 		text, size, err := line.Next(buf[used:])
 		if err != nil {
-			d.gone(choice.ConnectionLost, socket.Reset, "malformed")
+			d.endOpenSession(choice.ConnectionLost, socket.Reset, "malformed")
 			return len(buf)
 		}
 		if size == 0 {
 			break
 		}
 		used += size
-		d.parting = 0
+		d.announced = 0
 		switch string(line.Verb(text)) {
 		case "LOAD":
 			if level, ok := line.ParseLoad(text); ok {
-				d.ex.NoteLoad(level)
+				d.session.HandleLoadReport(level)
 			}
 			continue
 		case "BYE":
-			d.parting = choice.Accepted
+			d.announced = choice.Accepted
 		case "MOVE":
-			d.parting = choice.Cancelled
+			d.announced = choice.Cancelled
 		default:
 			answers++
 		}
 	}
-	if used > 0 && d.state == up {
-		d.ex.FromServer(buf[:used], answers)
+	if used > 0 && d.state == open {
+		d.session.RelayFromServer(buf[:used], answers)
 	}
 	return used
 }
 
-// gone tells both sides that the server has ended an open session.
-func (d *Dial) gone(outcome choice.Outcome, how socket.End, reason string) {
+// endOpenSession tells both sides that the server has ended an open session.
+func (d *Dial) endOpenSession(outcome choice.Outcome, how socket.End, reason string) {
 	d.End(how, reason)
-	d.ex.ServerEnded(outcome, how, reason)
+	d.session.HandleServerEnd(outcome, how, reason)
 }
 
-// Ended tells that the server has ended the connection.
-func (d *Dial) Ended(how socket.End) {
+// HandleEnd tells that the server has ended the connection.
+func (d *Dial) HandleEnd(how socket.End) {
 	switch {
-	case d.state == reaching: // before the first line was sent
+	case d.state == connecting: // before the first line was sent
 		d.fail(choice.Unreachable, how, "unreachable")
-	case d.state == asked && d.conn.Unsent() > 0: // the line's last byte was never written
+	case d.state == awaitingAnswer && d.conn.Unsent() > 0: // the line's last byte was never written
 		d.fail(choice.Unreachable, how, "unreachable")
-	case d.state == asked:
+	case d.state == awaitingAnswer:
 		d.fail(choice.ConnectionLost, how, "broken")
-	case d.state == up && d.parting == choice.Accepted:
-		d.gone(choice.Accepted, afterLastLine(how), "ended")
-	case d.state == up && d.parting == choice.Cancelled:
-		d.gone(choice.Cancelled, afterLastLine(how), "sent-away")
-	case d.state == up:
-		d.gone(choice.ConnectionLost, how, "broken")
+	case d.state == open && d.announced == choice.Accepted:
+		d.endOpenSession(choice.Accepted, afterLastLine(how), "ended")
+	case d.state == open && d.announced == choice.Cancelled:
+		d.endOpenSession(choice.Cancelled, afterLastLine(how), "sent-away")
+	case d.state == open:
+		d.endOpenSession(choice.ConnectionLost, how, "broken")
 	}
 }
 
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -32,10 +32,10 @@
 type Owner interface {
 	// Read takes whole lines off the buffer and returns how many bytes they are.
 	Read(buf []byte) int
-	// Ended tells that the other end has ended the connection, or that it is broken. One that is broken still takes a last
+	// HandleEnd tells that the other end has ended the connection, or that it is broken. One that is broken still takes a last
 	// line, which arrives if the failure has passed, and must be ended by the owner. It is not called for what the owner
 	// ended.
-	Ended(how End)
+	HandleEnd(how End)
 }
 
 type state int
@@ -48,29 +48,29 @@
 
 // Conn is one connection.
 type Conn struct {
-	conn   *eventloop.Conn
-	owner  Owner
-	limit  *ConnectionLimit
-	timers *timers.Timers
-	later  func(func())  // calls back once the event at hand is through
-	linger time.Duration // for the other end's close
-	most   int           // bytes waiting to be written
-	state  state
-	last   *timers.Timer
-	spare  *list.Element
-	unread int   // bytes that have come since the goodbye
-	unsent int   // bytes of what was written last that this machine never took, once the connection has ended
-	err    error // with which the connection ended, nil where it ended in good order or by its owner
+	conn          *eventloop.Conn
+	owner         Owner
+	limit         *ConnectionLimit
+	timers        *timers.Timers
+	runAfterEvent func(func())  // calls back once the event at hand is through
+	lingerTimeout time.Duration // for the other end's close
+	maxBuffered   int           // bytes waiting to be written
+	state         state
+	lingerTimer   *timers.Timer
+	spareEntry    *list.Element
+	discarded     int   // bytes that have come since the goodbye
+	unsent        int   // bytes of what was written last that this machine never took, once the connection has ended
+	err           error // with which the connection ended, nil where it ended in good order or by its owner
 }
 
 // New takes over a connection, which counts in the limit already.
 func New(conn *eventloop.Conn, owner Owner, limit *ConnectionLimit, t *timers.Timers, later func(func()), linger time.Duration,
 	most int) *Conn {
-	return &Conn{conn: conn, owner: owner, limit: limit, timers: t, later: later, linger: linger, most: most}
+	return &Conn{conn: conn, owner: owner, limit: limit, timers: t, runAfterEvent: later, lingerTimeout: linger, maxBuffered: most}
 }
 
-// Traffic hands on what has come.
-func (c *Conn) Traffic() {
+// HandleTraffic hands on what has come.
+func (c *Conn) HandleTraffic() {
 	n := len(c.conn.Pending())
 	if n == 0 || c.state == closed {
 		return
@@ -82,7 +82,7 @@
 		c.conn.Discard(n)
 	}
 	if c.state == finishing {
-		if c.unread += n; c.unread > c.most { // guards against one that sends on and on
+		if c.discarded += n; c.discarded > c.maxBuffered { // guards against one that sends on and on
 			c.Reset()
 		}
 	}
@@ -92,17 +92,17 @@
 // kernel's answer to a read or write.
 func (c *Conn) Err() error { return c.err }
 
-// Again reads once more what the owner has left in the buffer.
-func (c *Conn) Again() { c.Traffic() }
+// ReadAgain reads once more what the owner has left in the buffer.
+func (c *Conn) ReadAgain() { c.HandleTraffic() }
 
 // Write sends whole lines. A reader too slow to take them is cut off: what waits for it must not grow.
 func (c *Conn) Write(lines []byte) {
 	if c.state != open {
 		return
 	}
-	if c.conn.Unsent()+len(lines) > c.most {
+	if c.conn.Unsent()+len(lines) > c.maxBuffered {
 		c.Reset()
-		c.later(func() { c.owner.Ended(Reset) })
+		c.runAfterEvent(func() { c.owner.HandleEnd(Reset) })
 		return
 	}
 	c.conn.Write(lines)
@@ -117,44 +117,44 @@
 	return c.conn.Unsent()
 }
 
-// Peer is what the other end has done that the event loop has not read yet.
-type Peer int
+// PeerState is what the other end has done that the event loop has not read yet.
+type PeerState int
 
 const (
-	Waits      Peer = iota // nothing
-	Speaks                 // something has come
-	Left                   // it has ended the connection
-	PathFailed             // nothing, but the connection is broken
+	PeerWaiting    PeerState = iota // nothing
+	PeerSent                        // something has come
+	PeerLeft                        // it has ended the connection
+	PeerPathFailed                  // nothing, but the connection is broken
 )
 
-// maxPeeks is how often Peer asks when the call fails for a moment.
-const maxPeeks = 100
+// maxAttempts is how often Peer asks when the call fails for a moment.
+const maxAttempts = 100
 
-// Peer asks the kernel, which knows of a close before the loop does: the loop may have been held up, or have more to read
+// PeerState asks the kernel, which knows of a close before the loop does: the loop may have been held up, or have more to read
 // than one round takes.
-func (c *Conn) Peer() Peer {
+func (c *Conn) PeerState() PeerState {
 	if c.state != open {
-		return Left
+		return PeerLeft
 	}
 	var first [1]byte
-	for range maxPeeks {
+	for range maxAttempts {
 		n, _, err := unix.Recvfrom(c.conn.FD(), first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		switch failure.Classify(failure.Read, err) {
 		case failure.None:
 			if n > 0 {
-				return Speaks
+				return PeerSent
 			}
-			return Left
+			return PeerLeft
 		case failure.NotReady:
-			return Waits
+			return PeerWaiting
 		case failure.Interrupted, failure.Exhausted: // nothing is known yet
 		case failure.Broken:
-			return PathFailed
+			return PeerPathFailed
 		default:
-			return Left
+			return PeerLeft
 		}
 	}
-	return Waits
+	return PeerWaiting
 }
 
 // Finish sends a last line, if any, and ends the connection in good order. Closing while something unread has
@@ -170,13 +170,13 @@
 		return
 	}
 	c.state = finishing
-	c.spare = c.limit.Spare(c.Reset)
-	c.last = c.timers.After(c.linger, c.Reset)
+	c.spareEntry = c.limit.AddSpare(c.Reset)
+	c.lingerTimer = c.timers.After(c.lingerTimeout, c.Reset)
 	c.shutdownWrite()
 }
 
-// shutdownSteps is how often, in the time for the other end's close, it is looked whether the last line is written.
-const shutdownSteps = 16
+// shutdownChecks is how often, in the time for the other end's close, it is looked whether the last line is written.
+const shutdownChecks = 16
 
 // shutdownWrite ends this end's sending once all is written.
 func (c *Conn) shutdownWrite() {
@@ -184,14 +184,14 @@
 		return
 	}
 	if c.conn.Unsent() > 0 {
-		c.timers.After(c.linger/shutdownSteps, c.shutdownWrite)
+		c.timers.After(c.lingerTimeout/shutdownChecks, c.shutdownWrite)
 		return
 	}
 	err := unix.Shutdown(c.conn.FD(), unix.SHUT_WR)
 	switch meaning := failure.Classify(failure.Option, err); {
 	case meaning == failure.None:
 	case meaning.IsTemporary():
-		c.timers.After(c.linger/shutdownSteps/shutdownSteps, c.shutdownWrite)
+		c.timers.After(c.lingerTimeout/shutdownChecks/shutdownChecks, c.shutdownWrite)
 	default:
 		c.Reset()
 	}
@@ -207,17 +207,17 @@
 	if c.state != open { // the write may have failed
 		return
 	}
-	c.readAway()
+	c.discardReceived()
 	c.close()
 }
 
-// readAway reads what has come and drops it.
-func (c *Conn) readAway() {
+// discardReceived reads what has come and drops it.
+func (c *Conn) discardReceived() {
 	var away [4 << 10]byte
 	interrupts := 0
-	for read := 0; read < c.most; { // guards against one that sends on and on
+	for read := 0; read < c.maxBuffered; { // guards against one that sends on and on
 		n, err := unix.Read(c.conn.FD(), away[:])
-		if failure.Classify(failure.Read, err) == failure.Interrupted && interrupts < maxPeeks {
+		if failure.Classify(failure.Read, err) == failure.Interrupted && interrupts < maxAttempts {
 			interrupts++
 			continue
 		}
@@ -234,7 +234,7 @@
 		return
 	}
 	none := unix.Linger{Onoff: 1}
-	for range maxPeeks {
+	for range maxAttempts {
 		err := unix.SetsockoptLinger(c.conn.FD(), unix.SOL_SOCKET, unix.SO_LINGER, &none)
 		if !failure.Classify(failure.Option, err).IsTemporary() {
 			break
@@ -254,25 +254,25 @@
 
 func (c *Conn) close() {
 	c.unsent = c.conn.Unsent()
-	c.leave()
+	c.release()
 	c.conn.Close()
 }
 
-func (c *Conn) leave() {
+func (c *Conn) release() {
 	c.state = closed
-	c.timers.Stop(c.last)
-	c.limit.Keep(c.spare)
-	c.limit.Give(1)
+	c.timers.Stop(c.lingerTimer)
+	c.limit.RemoveSpare(c.spareEntry)
+	c.limit.Release(1)
 }
 
-// Closed tells that the event loop closes the connection. It may come in the midst of a write, so the owner is told later.
-func (c *Conn) Closed(err error) {
+// HandleClose tells that the event loop closes the connection. It may come in the midst of a write, so the owner is told later.
+func (c *Conn) HandleClose(err error) {
 	was := c.state
 	if was == closed {
 		return
 	}
 	c.unsent = c.conn.Unsent()
-	c.leave()
+	c.release()
 	if was == open {
 		how := Reset
 		if errors.Is(err, io.EOF) {
@@ -280,20 +280,20 @@
 		} else {
 			c.err = err
 		}
-		c.later(func() { c.owner.Ended(how) })
+		c.runAfterEvent(func() { c.owner.HandleEnd(how) })
 	}
 }
 
-// Failed tells that the connection is broken though the other end has ended nothing. One that is finishing goes on: its last
+// HandleBroken tells that the connection is broken though the other end has ended nothing. One that is finishing goes on: its last
 // line may still arrive, and its time is limited.
-func (c *Conn) Failed(err error) {
+func (c *Conn) HandleBroken(err error) {
 	if c.state != open {
 		return
 	}
 	c.err = err
-	c.later(func() {
+	c.runAfterEvent(func() {
 		if c.state == open {
-			c.owner.Ended(Broken)
+			c.owner.HandleEnd(Broken)
 		}
 	})
 }
