--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -58,10 +58,10 @@
 	c.openTimeout, c.listeners, c.tenants, c.usesGroups = openTimeout, listeners, tenants, usesGroups
 }
 
-// DelayPings holds the answers to PINGs back until AnswerPings is called. A load balancer in front of the proxies sends
+// HoldPings holds the answers to PINGs back until AnswerPings is called. A load balancer in front of the proxies sends
 // connections to a proxy as soon as it has answered a PING; a proxy that has just started must not take any before it has the list
-// of servers, as the list may count as delivered to it before it has arrived.
-func (c *Clients) DelayPings() { c.holdsPings = true }
+// of servers: what the list says may count as known to that proxy before the list has arrived.
+func (c *Clients) HoldPings() { c.holdsPings = true }
 
 // AnswerPings answers all PINGs that wait, and has later ones answered at once.
 func (c *Clients) AnswerPings() {
@@ -125,8 +125,8 @@
 	}
 }
 
-// closeIdle gracefully closes the connection if it is idle. An OPEN line that crosses the BUSY on its way has had no effect, so
-// the client may retry it.
+// closeIdle gracefully closes the connection if it is idle. An OPEN line that crosses the BUSY on its way is answered by it: the
+// session has not run, and the client may retry it.
 func (c *Client) closeIdle() {
 	if c.state == idle {
 		c.Finish([]byte("BUSY\r\n"), "idle")
@@ -181,7 +181,7 @@
 	return used
 }
 
-// reject closes the connection over a malformed line.
+// reject closes the connection over a line that is malformed, comes too early, or names an unknown listener or tenant.
 func (c *Client) reject(err error) {
 	c.clients.log.Debug().Err(err).Msg("a client's line is refused")
 	c.Finish([]byte("ERR\r\n"), "malformed")
@@ -222,7 +222,8 @@
 	}
 	arrival := choice.Arrival{Listener: listener, Tenant: tenant,
 		TimeLeft: openLine.Remaining - openLine.Remaining/answerTimeShare,
-		Load:     openLine.Load / 1000, Client: choice.Key(line.NumericKey(openLine.Key)), MidFlow: openLine.MidFlow,
+		Load:     openLine.Load / 1000, // from thousandths of a core
+		Client:   choice.Key(line.NumericKey(openLine.Key)), MidFlow: openLine.MidFlow,
 		Reconnected: openLine.Returned}
 	if c.clients.usesGroups {
 		arrival.Group = choice.Key(line.NumericKey(openLine.Group))
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -187,7 +187,7 @@
 		t.list, t.cold, t.peerReports)
 	p.table.SetBalancer(p.balancer)
 	if t.listPushed {
-		p.clients.DelayPings()
+		p.clients.HoldPings()
 		// A discovery service that stays silent must not keep the proxy out of rotation.
 		p.timers.After(discovery.StalenessLimit/2, p.clients.AnswerPings)
 	}
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -1,4 +1,6 @@
-// Package servers is the side of the servers: dials, their connections and what comes back on them.
+// Package servers is the server side of sessions: it connects to servers, sends each session's first line, reads the answer and
+// relays lines while the session is open. It writes a log line for each dial that ends. Which server is dialed, and what follows a
+// dial that fails, is decided elsewhere: see packages exchange and choice.
 package servers
 
 import (
@@ -17,73 +19,81 @@
 	"chalkferry/internal/timers"
 )
 
-// descriptorsPerConnect costs two descriptors, as the event loop has its own copy for a moment.
+// descriptorsPerConnect is how many descriptors a connect takes: the event loop duplicates the one of the connection, and for a
+// moment both are open.
 const descriptorsPerConnect = 2
 
-// Directory knows the servers as they were listed last.
+// maxLoggedBytes is how much of a line that is not understood goes into the log.
+const maxLoggedBytes = 80
+
+// Directory has the servers as the list showed them last.
 type Directory interface {
-	Address(at choice.ServerID) (address, name string, known bool)
-	Ready(at choice.ServerID) bool
-	// Edition is another number once the server is listed at another address, or as started anew.
-	Edition(at choice.ServerID) int
+	// Address returns the server's host and port, and its name in the list.
+	Address(server choice.ServerID) (address, name string, known bool)
+	// Ready reports whether the server takes new sessions.
+	Ready(server choice.ServerID) bool
+	// Edition returns a number that changes when the server is listed at another address or with another start time.
+	Edition(server choice.ServerID) int
 }
 
-// Loop takes over established connections.
+// Loop is the part of eventloop.Loop that takes over established connections.
 type Loop interface {
-	// Adopt hands a connection over, from any goroutine; done is called on the loop once it has it.
+	// Adopt hands a connection over to the loop, from any goroutine. done is called on the loop after the handler's OnOpen.
 	Adopt(conn net.Conn, context any, done func()) error
 }
 
-// Connector connects beside the event loop.
+// Connector connects to servers in goroutines of its own, as the event loop must not block.
 type Connector struct {
+	// Loop takes the connections over. It must be set before the first dial.
 	Loop            Loop
-	execute         func(func()) // on the event loop
+	execute         func(func()) // runs a function on the event loop
 	connectionLimit *socket.ConnectionLimit
-	wrap            func(*eventloop.Conn, socket.Owner) *socket.Conn
-	timeout         time.Duration
+	wrap            func(*eventloop.Conn, socket.Owner) *socket.Conn // counts the connection in connectionLimit
+	timeout         time.Duration                                    // of a connect
 	failures        *failure.Log
-	connectCount    int // under way
-	// Dial connects; a test may put its own here before the first dial.
+	connectCount    int // connects under way
+	// Dial connects to an address. A test may replace it before the first dial.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// NewConnector makes a connector that gives up after a timeout.
-func NewConnector(execute func(func()), connectionLimit *socket.ConnectionLimit, take func(*eventloop.Conn, socket.Owner) *socket.Conn,
+// NewConnector makes a connector whose connects fail after the timeout. execute runs a function on the event loop; wrap makes a
+// socket.Conn of a connection and counts it in the limit.
+func NewConnector(execute func(func()), connectionLimit *socket.ConnectionLimit, wrap func(*eventloop.Conn, socket.Owner) *socket.Conn,
 	timeout time.Duration, failures *failure.Log) *Connector {
-	return &Connector{execute: execute, connectionLimit: connectionLimit, wrap: take, timeout: timeout, failures: failures,
+	return &Connector{execute: execute, connectionLimit: connectionLimit, wrap: wrap, timeout: timeout, failures: failures,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			var dialer net.Dialer
 			return dialer.DialContext(ctx, "tcp", address)
 		}}
 }
 
-// SetTimeout sets another time for connections to be established.
+// SetTimeout sets the timeout of later connects.
 func (c *Connector) SetTimeout(timeout time.Duration) { c.timeout = timeout }
 
-// ConnectCount is how many connects are under way.
+// ConnectCount returns the number of connects under way.
 func (c *Connector) ConnectCount() int { return c.connectCount }
 
-// Opener takes over a connection that is established.
+// Opener is the context of a connection that the loop adopts: who it is for.
 type Opener interface {
-	// Open is called on the event loop.
+	// Open is called on the event loop with the established connection.
 	Open(conn *eventloop.Conn)
 }
 
-// connect calls either opener.Open or failed, on the event loop.
+// connect starts a connect and returns a function that cancels it. Either opener.Open or failed is called on the event loop.
 func (c *Connector) connect(address string, opener Opener, failed func(error)) context.CancelFunc {
 	c.connectionLimit.Acquire(descriptorsPerConnect)
 	c.connectCount++
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
-	ended := func() {
+	done := func() {
 		c.connectCount--
 		c.connectionLimit.Release(descriptorsPerConnect)
 	}
 	dial := c.Dial
 	go func() {
 		defer cancel()
-		if err := c.establish(ctx, dial, address, opener, ended); err != nil {
+		if err := c.establish(ctx, dial, address, opener, done); err != nil {
 			c.execute(func() {
-				ended()
+				done()
 				failed(err)
 			})
 		}
@@ -91,10 +101,10 @@
 	return cancel
 }
 
-// establish connects and hands the connection over to the event loop. What fails for a moment is tried again until the
-// context is done: no byte has gone to the server, so that neither its budget nor the session's dials are touched.
+// establish connects and hands the connection over to the event loop. Temporary failures are retried until the context is done.
+// Such a retry counts neither as a dial of the session nor against the retry budget, as no byte has been sent to the server.
 func (c *Connector) establish(ctx context.Context, dial func(context.Context, string) (net.Conn, error), address string,
-	opener Opener, ended func()) error {
+	opener Opener, done func()) error {
 	var conn net.Conn
 	err := failure.Retry(ctx, failure.Connect, c.failures, func() (err error) {
 		conn, err = dial(ctx, address)
@@ -104,36 +114,36 @@
 		return err
 	}
 	defer conn.Close()
-	return failure.Retry(ctx, failure.HandOver, c.failures, func() error { return c.Loop.Adopt(conn, opener, ended) })
+	return failure.Retry(ctx, failure.HandOver, c.failures, func() error { return c.Loop.Adopt(conn, opener, done) })
 }
 
 type state int
 
 const (
-	connecting     state = iota // the first line is not sent: the connection does not stand yet, or the list is awaited
-	awaitingAnswer              // the first line is out
-	open
+	connecting     state = iota // the first line has not been sent: the connection is being established, or the list is awaited
+	awaitingAnswer              // the first line has been sent
+	open                        // the server has answered UP
 	ended
 )
 
-// Dial is one dial of a session.
+// Dial is one dial of a session. It implements exchange.Server, socket.Owner and Opener.
 type Dial struct {
 	servers   *Servers
 	session   *exchange.Session
 	serverID  choice.ServerID
 	state     state
-	edition   int // of the server that was chosen
+	edition   int // of the server when it was chosen
 	startedAt time.Duration
-	timeout   time.Duration // from then on
+	timeout   time.Duration // for the answer, from startedAt on
 	timer     *timers.Timer
 	cancel    context.CancelFunc
 	conn      *socket.Conn
-	announced choice.Outcome // what the server's last line has announced
+	announced choice.Outcome // how the session ends according to the server's last line; 0 if that was neither BYE nor MOVE
 
-	connectErr error // why the connection was never established
+	connectErr error // why no connection was established
 }
 
-// Servers makes dials.
+// Servers starts the dials of a proxy. It implements exchange.Dialer, and is used on the event loop only.
 type Servers struct {
 	connector       *Connector
 	directory       Directory
@@ -144,24 +154,25 @@
 	log             zerolog.Logger
 }
 
-// New makes the side of the servers. whenListIsKnown calls back at once, or as soon as the directory has what discovery has sent.
+// New makes the server side of a proxy. whenListIsKnown calls back once the directory is up to date: at once, or, after the event
+// loop was held up, when it has read what discovery has sent meanwhile.
 func New(connector *Connector, directory Directory, t *timers.Timers, connectionLimit *socket.ConnectionLimit, now func() time.Duration,
 	whenListIsKnown func(call func()), log zerolog.Logger) *Servers {
 	return &Servers{connector: connector, directory: directory, timers: t, connectionLimit: connectionLimit, now: now,
 		whenListIsKnown: whenListIsKnown, log: log}
 }
 
-// Dial starts a dial. The limit covers connecting and the answer.
-func (s *Servers) Dial(at choice.ServerID, limit time.Duration, session *exchange.Session) exchange.Server {
-	address, _, known := s.directory.Address(at)
+// Dial implements exchange.Dialer. The timeout covers the connect and the server's answer.
+func (s *Servers) Dial(server choice.ServerID, timeout time.Duration, session *exchange.Session) exchange.Server {
+	address, _, known := s.directory.Address(server)
 	if !known || s.connectionLimit.Free() < descriptorsPerConnect {
 		return nil
 	}
-	d := &Dial{servers: s, session: session, serverID: at, edition: s.directory.Edition(at), startedAt: s.now(), timeout: limit}
-	d.timer = s.timers.After(limit, d.handleTimeout)
+	d := &Dial{servers: s, session: session, serverID: server, edition: s.directory.Edition(server), startedAt: s.now(), timeout: timeout}
+	d.timer = s.timers.After(timeout, d.handleTimeout)
 	d.cancel = s.connector.connect(address, d, func(err error) {
 		d.connectErr = err
-		if failure.Classify(failure.Connect, err) == failure.Exhausted { // that is not the server's doing
+		if failure.Classify(failure.Connect, err) == failure.Exhausted { // a shortage on this machine, not a fault of the server
 			d.fail(choice.NotSent, socket.Reset, "no-resource")
 			return
 		}
@@ -170,7 +181,7 @@
 	return d
 }
 
-// Open takes the connection over, and has the first line sent once the list is known.
+// Open implements Opener: it takes the connection over, and sends the first line once the directory is up to date.
 func (d *Dial) Open(conn *eventloop.Conn) {
 	d.conn = d.servers.connector.wrap(conn, d)
 	if d.state != connecting {
@@ -180,8 +191,9 @@
 	d.servers.whenListIsKnown(d.sendFirstLine)
 }
 
-// sendFirstLine sends the first line. A server that has left the list by now takes nothing new, one that is listed anew is not
-// the one that was chosen, of a client that has left no byte goes out, and what the dial was placed by must still hold.
+// sendFirstLine sends the first line unless something has changed while the connection was established: the server may no longer
+// take sessions, may have another address or have restarted, so that it is not the one that was chosen; the client may have left;
+// the dial's time may be up; or the Balancer's reasons for the dial may no longer hold.
 func (d *Dial) sendFirstLine() {
 	switch {
 	case d.state != connecting:
@@ -193,7 +205,7 @@
 		d.fail(choice.NotSent, socket.Reset, "listed-anew")
 		return
 	case !d.session.EnsureClientWaiting():
-		return // it has ended this dial, too
+		return // EnsureClientWaiting has ended the session and this dial
 	case d.servers.now()-d.startedAt >= d.timeout:
 		d.handleTimeout()
 		return
@@ -202,20 +214,21 @@
 		return
 	}
 	d.state = awaitingAnswer
-	d.conn.Write(d.session.FirstLine(d.startedAt + d.timeout - d.servers.now())) // its connection has taken some of it
+	d.conn.Write(d.session.FirstLine(d.startedAt + d.timeout - d.servers.now())) // the connect has taken part of the timeout
 }
 
+// handleTimeout ends a dial that was not answered in time.
 func (d *Dial) handleTimeout() {
 	switch {
-	case d.state == connecting, d.state == awaitingAnswer && d.conn.Unsent() > 0: // the line is cut, and can't be whole any more
+	case d.state == connecting, d.state == awaitingAnswer && d.conn.Unsent() > 0: // the server has not got the whole line, and won't
 		d.fail(choice.Unreachable, socket.Reset, "unreachable")
 	case d.state == awaitingAnswer:
-		// Reset, as what this machine still holds for a server that is cut off would reach it once it is back.
+		// Reset, as the line in this machine's send buffer would otherwise reach a server that is cut off once it is reachable again.
 		d.fail(choice.TimedOut, socket.Reset, "unanswered")
 	}
 }
 
-// fail ends a dial that brought nothing up.
+// fail ends a dial without opening its session.
 func (d *Dial) fail(outcome choice.Outcome, how socket.End, reason string) {
 	if d.state == connecting || d.state == awaitingAnswer {
 		d.End(how, reason)
@@ -223,12 +236,13 @@
 	}
 }
 
+// Write implements exchange.Server.
 func (d *Dial) Write(lines []byte) { d.conn.Write(lines) }
 
-// End ends the dial for good; nothing that still comes counts.
+// End implements exchange.Server. Anything that the server sends from then on is ignored.
 func (d *Dial) End(how socket.End, reason string) {
-	was := d.state
-	if was == ended {
+	previous := d.state
+	if previous == ended {
 		return
 	}
 	d.state = ended
@@ -236,7 +250,7 @@
 	d.servers.timers.Stop(d.timer)
 	switch {
 	case d.conn == nil:
-	case was == awaitingAnswer && d.conn.Unsent() > 0: // the rest of a first line given up must not go out later
+	case previous == awaitingAnswer && d.conn.Unsent() > 0: // the rest of the first line must not be sent after all
 		d.conn.Reset()
 	default:
 		d.conn.EndAs(how)
@@ -244,7 +258,7 @@
 	d.logEnd(how, reason)
 }
 
-// logEnd leaves the line about a dial that ends.
+// logEnd writes the log line of a dial that has ended.
 func (d *Dial) logEnd(how socket.End, reason string) {
 	_, name, _ := d.servers.directory.Address(d.serverID)
 	e := d.servers.log.Info().Str("side", "server").Str("server", name).Str("id", d.session.ID()).Str("reason", reason).
@@ -258,7 +272,7 @@
 	e.Send()
 }
 
-// Read takes whole lines.
+// Read implements socket.Owner: it handles the whole lines in the buffer.
 func (d *Dial) Read(buf []byte) int {
 	used := 0
 	if d.state == awaitingAnswer {
@@ -279,29 +293,29 @@
 	return used + d.relay(buf[used:])
 }
 
-// handleAnswer takes the first line that comes back.
-func (d *Dial) handleAnswer(text, whole []byte) {
+// handleAnswer handles the server's first line: its text, and the whole line with its end.
+func (d *Dial) handleAnswer(text, wholeLine []byte) {
 	switch string(line.Verb(text)) {
 	case "UP":
 		d.state = open
 		d.servers.timers.Stop(d.timer)
-		d.session.HandleOpened(whole)
+		d.session.HandleOpened(wholeLine)
 	case "BUSY":
 		d.fail(choice.ServerFull, socket.Finished, "full")
 	case "BYE":
 		d.End(socket.Finished, "ended")
-		d.session.HandleEndBeforeOpen(whole)
+		d.session.HandleEndBeforeOpen(wholeLine)
 	case "MOVE":
 		d.fail(choice.Cancelled, socket.Finished, "sent-away")
 	case "ERR":
 		d.fail(choice.Failed, socket.Finished, "error")
 	default:
-		d.servers.log.Warn().Str("side", "server").Bytes("line", text[:min(len(text), 80)]).Msg("unknown answer")
+		d.servers.log.Warn().Str("side", "server").Bytes("line", text[:min(len(text), maxLoggedBytes)]).Msg("unknown answer")
 		d.fail(choice.Failed, socket.Finished, "malformed")
 	}
 }
 
-// relay hands all whole lines on at once.
+// relay passes all whole lines in the buffer on to the session, in one call.
 func (d *Dial) relay(buf []byte) int {
 	used, answers := 0, 0
 	for {
@@ -335,18 +349,18 @@
 	return used
 }
 
-// endOpenSession tells both sides that the server has ended an open session.
+// endOpenSession ends the dial and its open session, which the server has ended.
 func (d *Dial) endOpenSession(outcome choice.Outcome, how socket.End, reason string) {
 	d.End(how, reason)
 	d.session.HandleServerEnd(outcome, how, reason)
 }
 
-// HandleEnd tells that the server has ended the connection.
+// HandleEnd implements socket.Owner: the server has ended the connection, or the network has broken it.
 func (d *Dial) HandleEnd(how socket.End) {
 	switch {
-	case d.state == connecting: // before the first line was sent
+	case d.state == connecting: // the first line was not sent
 		d.fail(choice.Unreachable, how, "unreachable")
-	case d.state == awaitingAnswer && d.conn.Unsent() > 0: // the line's last byte was never written
+	case d.state == awaitingAnswer && d.conn.Unsent() > 0: // the first line was not sent completely
 		d.fail(choice.Unreachable, how, "unreachable")
 	case d.state == awaitingAnswer:
 		d.fail(choice.ConnectionLost, how, "broken")
@@ -359,8 +373,8 @@
 	}
 }
 
-// afterLastLine is how the client's side ends once the server's last line has been passed: nothing more is due to a client
-// whose server's connection broke only then.
+// afterLastLine returns how the client's connection ends after the server's last line was passed on. If the server's connection
+// broke only after that line, the client's ends gracefully all the same, as it has got everything.
 func afterLastLine(how socket.End) socket.End {
 	if how == socket.Broken {
 		return socket.Finished
--- a/internal/socket/limit.go
+++ b/internal/socket/limit.go
@@ -2,18 +2,20 @@
 
 import "container/list"
 
-// ConnectionLimit counts the descriptors that the process may still open, and knows the connections that may be given up when
-// they run short: those that have asked for nothing, and those that have had their last line.
+// ConnectionLimit counts the descriptors that the process may still open, and lists the spare connections, which may be closed
+// when descriptors run short: those that have not asked for a session, and those that have been sent their last line.
 type ConnectionLimit struct {
-	free, minFree int
-	spares        list.List // of func(), the longest there first
+	free    int       // descriptors
+	minFree int       // with fewer free descriptors, spare connections are closed
+	spares  list.List // of func(), which closes the connection; the one that has been spare longest comes first
 }
 
-const minFreeDivisor = 8 // one in so many is kept for those who come next
+// minFreeDivisor is the share of descriptors, one in so many, that is kept free for new connections.
+const minFreeDivisor = 8
 
-// NewConnectionLimit makes a limit of so many descriptors.
-func NewConnectionLimit(max int) *ConnectionLimit {
-	return &ConnectionLimit{free: max, minFree: max / minFreeDivisor}
+// NewConnectionLimit makes a limit of maxDescriptors.
+func NewConnectionLimit(maxDescriptors int) *ConnectionLimit {
+	return &ConnectionLimit{free: maxDescriptors, minFree: maxDescriptors / minFreeDivisor}
 }
 
 // Acquire counts n descriptors as open.
@@ -22,24 +24,26 @@
 // Release counts n descriptors as closed.
 func (l *ConnectionLimit) Release(n int) { l.free += n }
 
-// Free is how many may still be opened, below 0 when more are open than the limit allows.
+// Free returns how many descriptors may still be opened. It is negative while more are open than the limit allows.
 func (l *ConnectionLimit) Free() int { return l.free }
 
-// SpareCount is how many connections are spare.
+// SpareCount returns the number of spare connections.
 func (l *ConnectionLimit) SpareCount() int { return l.spares.Len() }
 
-// AddSpare names what gives a connection up.
-func (l *ConnectionLimit) AddSpare(giveUp func()) *list.Element { return l.spares.PushBack(giveUp) }
+// AddSpare adds a spare connection, given a function that closes it.
+func (l *ConnectionLimit) AddSpare(closeConn func()) *list.Element {
+	return l.spares.PushBack(closeConn)
+}
 
-// RemoveSpare takes that back; nil and one that was given up are fine.
-func (l *ConnectionLimit) RemoveSpare(spare *list.Element) {
-	if spare != nil {
-		l.spares.Remove(spare)
+// RemoveSpare removes a spare connection. It does nothing for nil or a connection that was evicted.
+func (l *ConnectionLimit) RemoveSpare(entry *list.Element) {
+	if entry != nil {
+		l.spares.Remove(entry)
 	}
 }
 
-// EvictSpare gives up the connection that has been spare longest, if descriptors are short and it is not the only one.
-// It guards against silent clients by the hundred: one goes for each that comes.
+// EvictSpare closes the connection that has been spare longest, if descriptors run short and it is not the only one. It is called
+// for each new connection, so that hundreds of clients that connect and send nothing can't use up the descriptors.
 func (l *ConnectionLimit) EvictSpare() {
 	if l.free < l.minFree && l.spares.Len() > 1 {
 		l.spares.Remove(l.spares.Front()).(func())()
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,6 @@
-// Package socket is what the sides of a session have in common: one connection on the event loop that hands
-// on whole lines and ends as it is told.
+// Package socket is the connection type shared by the client and server sides of sessions: one connection on the event loop, with
+// bounded buffers and with the ways to end it that the sides need. It also counts the descriptors of the process, see
+// ConnectionLimit. It does not interpret lines; that is up to the Owner of a connection.
 package socket
 
 import (
@@ -19,22 +20,23 @@
 type End int
 
 const (
-	Finished End = iota // in good order
-	Reset
-	Broken // by the network: the other end has ended nothing, and may be well
+	Finished End = iota // gracefully, with a FIN
+	Reset               // with a RST, or after an error
+	Broken              // by the network: the other end has not ended the connection, and may still be there
 )
 
+// String returns the name of the end in logs.
 func (e End) String() string {
 	return [...]string{Finished: "fin", Reset: "reset", Broken: "broken"}[e]
 }
 
-// Owner is the side that a connection belongs to.
+// Owner is the client or server side that a connection belongs to. Its methods are called on the event loop.
 type Owner interface {
-	// Read takes whole lines off the buffer and returns how many bytes they are.
+	// Read handles the whole lines in the buffer and returns their size in bytes.
 	Read(buf []byte) int
-	// HandleEnd tells that the other end has ended the connection, or that it is broken. One that is broken still takes a last
-	// line, which arrives if the failure has passed, and must be ended by the owner. It is not called for what the owner
-	// ended.
+	// HandleEnd is called when the other end has ended the connection, or when the network has broken it. A Broken connection
+	// still takes a last line, which arrives if the failure has passed, and the owner must end it. HandleEnd is not called for a
+	// connection that the owner has ended.
 	HandleEnd(how End)
 }
 
@@ -42,34 +44,35 @@
 
 const (
 	open      state = iota
-	finishing       // all is written; the other end's close is awaited
+	finishing       // the last line is written; waits for the other end to close
 	closed
 )
 
-// Conn is one connection.
+// Conn is one connection. It is used on the event loop only.
 type Conn struct {
 	conn          *eventloop.Conn
 	owner         Owner
 	limit         *ConnectionLimit
 	timers        *timers.Timers
-	runAfterEvent func(func())  // calls back once the event at hand is through
-	lingerTimeout time.Duration // for the other end's close
-	maxBuffered   int           // bytes waiting to be written
+	runAfterEvent func(func())  // calls back once the current event is handled
+	lingerTimeout time.Duration // how long a finishing connection waits for the other end to close
+	maxBuffered   int           // bytes that may wait to be sent, or be discarded after the last line
 	state         state
-	lingerTimer   *timers.Timer
-	spareEntry    *list.Element
-	discarded     int   // bytes that have come since the goodbye
-	unsent        int   // bytes of what was written last that this machine never took, once the connection has ended
-	err           error // with which the connection ended, nil where it ended in good order or by its owner
+	lingerTimer   *timers.Timer // while finishing
+	spareEntry    *list.Element // in the limit, while finishing
+	discarded     int           // bytes received while finishing
+	unsent        int           // once closed: bytes written that the kernel never took
+	err           error         // with which the connection ended; nil if it ended gracefully or was ended by the owner
 }
 
-// New takes over a connection, which counts in the limit already.
-func New(conn *eventloop.Conn, owner Owner, limit *ConnectionLimit, t *timers.Timers, later func(func()), linger time.Duration,
-	most int) *Conn {
-	return &Conn{conn: conn, owner: owner, limit: limit, timers: t, runAfterEvent: later, lingerTimeout: linger, maxBuffered: most}
+// New takes over a connection that is already counted in the limit. runAfterEvent calls back once the current event is handled.
+// lingerTimeout bounds the wait for the other end's close after a last line; maxBuffered bounds the bytes that wait to be sent.
+func New(conn *eventloop.Conn, owner Owner, limit *ConnectionLimit, t *timers.Timers, runAfterEvent func(func()), lingerTimeout time.Duration,
+	maxBuffered int) *Conn {
+	return &Conn{conn: conn, owner: owner, limit: limit, timers: t, runAfterEvent: runAfterEvent, lingerTimeout: lingerTimeout, maxBuffered: maxBuffered}
 }
 
-// HandleTraffic hands on what has come.
+// HandleTraffic passes received bytes on to the owner, or discards them while the connection is finishing.
 func (c *Conn) HandleTraffic() {
 	n := len(c.conn.Pending())
 	if n == 0 || c.state == closed {
@@ -82,20 +85,20 @@
 		c.conn.Discard(n)
 	}
 	if c.state == finishing {
-		if c.discarded += n; c.discarded > c.maxBuffered { // guards against one that sends on and on
+		if c.discarded += n; c.discarded > c.maxBuffered { // the other end keeps sending instead of closing
 			c.Reset()
 		}
 	}
 }
 
-// Err is the error with which the connection ended, nil where it ended in good order or by its owner. The source is the
-// kernel's answer to a read or write.
+// Err returns the error of the read or write that ended the connection, or nil if it ended gracefully or was ended by its owner.
 func (c *Conn) Err() error { return c.err }
 
-// ReadAgain reads once more what the owner has left in the buffer.
+// ReadAgain passes the bytes that the owner has left in the buffer to it once more.
 func (c *Conn) ReadAgain() { c.HandleTraffic() }
 
-// Write sends whole lines. A reader too slow to take them is cut off: what waits for it must not grow.
+// Write sends whole lines. A connection whose other end reads too slowly is reset, so that the send buffer stays bounded; the owner
+// is told once the current event is handled.
 func (c *Conn) Write(lines []byte) {
 	if c.state != open {
 		return
@@ -108,8 +111,8 @@
 	c.conn.Write(lines)
 }
 
-// Unsent is how many bytes of what was written this machine has not taken yet: the other end can't have them. After
-// the end of the connection it is how many it never took.
+// Unsent returns how many of the bytes written the kernel has not taken yet, so that the other end can't have received them. Once
+// the connection is closed, it returns how many the kernel never took.
 func (c *Conn) Unsent() int {
 	if c.state == closed {
 		return c.unsent
@@ -117,28 +120,28 @@
 	return c.conn.Unsent()
 }
 
-// PeerState is what the other end has done that the event loop has not read yet.
+// PeerState is what the other end has done since the event loop last read the connection.
 type PeerState int
 
 const (
 	PeerWaiting    PeerState = iota // nothing
-	PeerSent                        // something has come
+	PeerSent                        // it has sent something
 	PeerLeft                        // it has ended the connection
-	PeerPathFailed                  // nothing, but the connection is broken
+	PeerPathFailed                  // nothing, but the network has broken the connection
 )
 
-// maxAttempts is how often Peer asks when the call fails for a moment.
+// maxAttempts bounds how often a system call is made again at once after a temporary failure.
 const maxAttempts = 100
 
-// PeerState asks the kernel, which knows of a close before the loop does: the loop may have been held up, or have more to read
-// than one round takes.
+// PeerState asks the kernel what the other end has done. The kernel may know of a close before the event loop does: the loop may
+// have been held up, or have more to read than it does in one round. An ended connection counts as PeerLeft.
 func (c *Conn) PeerState() PeerState {
 	if c.state != open {
 		return PeerLeft
 	}
-	var first [1]byte
+	var firstByte [1]byte
 	for range maxAttempts {
-		n, _, err := unix.Recvfrom(c.conn.FD(), first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		n, _, err := unix.Recvfrom(c.conn.FD(), firstByte[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		switch failure.Classify(failure.Read, err) {
 		case failure.None:
 			if n > 0 {
@@ -147,7 +150,7 @@
 			return PeerLeft
 		case failure.NotReady:
 			return PeerWaiting
-		case failure.Interrupted, failure.Exhausted: // nothing is known yet
+		case failure.Interrupted, failure.Exhausted: // no answer yet: ask again
 		case failure.Broken:
 			return PeerPathFailed
 		default:
@@ -157,16 +160,16 @@
 	return PeerWaiting
 }
 
-// Finish sends a last line, if any, and ends the connection in good order. Closing while something unread has
-// come would reset it, and the other end might lose the last line, so its goodbye is awaited for a while.
-func (c *Conn) Finish(lines []byte) {
+// Finish sends a last line, if any, and closes the connection gracefully. Closing it while received bytes are unread would send a
+// RST, and the other end might lose the last line; so only sending is shut down, and the other end's close is awaited for a while.
+func (c *Conn) Finish(lastLine []byte) {
 	if c.state != open {
 		return
 	}
-	if len(lines) > 0 {
-		c.conn.Write(lines)
+	if len(lastLine) > 0 {
+		c.conn.Write(lastLine)
 	}
-	if c.state != open { // the write may have failed
+	if c.state != open { // closed by a write that failed
 		return
 	}
 	c.state = finishing
@@ -175,10 +178,11 @@
 	c.shutdownWrite()
 }
 
-// shutdownChecks is how often, in the time for the other end's close, it is looked whether the last line is written.
+// shutdownChecks is how often within lingerTimeout shutdownWrite checks whether the last line is written.
 const shutdownChecks = 16
 
-// shutdownWrite ends this end's sending once all is written.
+// shutdownWrite shuts down sending (FIN) once everything is written. After a temporary failure it tries again sooner than the next
+// check.
 func (c *Conn) shutdownWrite() {
 	if c.state != finishing {
 		return
@@ -197,26 +201,26 @@
 	}
 }
 
-// Drop sends a last line and gives the descriptor back at once. What has come by then is read away, as closing would
-// reset the connection over it and the other end lose the line; what comes later may still cost it that.
-func (c *Conn) Drop(lines []byte) {
+// Drop sends a last line and closes the descriptor at once. Bytes received by then are read and discarded first: closing with
+// unread bytes would send a RST, and the other end would lose the line. Bytes that arrive later may still have that effect.
+func (c *Conn) Drop(lastLine []byte) {
 	if c.state != open {
 		return
 	}
-	c.conn.Write(lines)
-	if c.state != open { // the write may have failed
+	c.conn.Write(lastLine)
+	if c.state != open { // closed by a write that failed
 		return
 	}
 	c.discardReceived()
 	c.close()
 }
 
-// discardReceived reads what has come and drops it.
+// discardReceived reads the bytes received so far and discards them.
 func (c *Conn) discardReceived() {
-	var away [4 << 10]byte
+	var buffer [4 << 10]byte
 	interrupts := 0
-	for read := 0; read < c.maxBuffered; { // guards against one that sends on and on
-		n, err := unix.Read(c.conn.FD(), away[:])
+	for read := 0; read < c.maxBuffered; { // bounded, as the other end may keep sending
+		n, err := unix.Read(c.conn.FD(), buffer[:])
 		if failure.Classify(failure.Read, err) == failure.Interrupted && interrupts < maxAttempts {
 			interrupts++
 			continue
@@ -228,14 +232,14 @@
 	}
 }
 
-// Reset cuts the connection off. Nothing of what waits to be written goes out any more.
+// Reset closes the connection with a RST. Bytes that wait to be sent are dropped.
 func (c *Conn) Reset() {
 	if c.state == closed {
 		return
 	}
-	none := unix.Linger{Onoff: 1}
+	noLinger := unix.Linger{Onoff: 1} // with a linger time of 0, close sends a RST
 	for range maxAttempts {
-		err := unix.SetsockoptLinger(c.conn.FD(), unix.SOL_SOCKET, unix.SO_LINGER, &none)
+		err := unix.SetsockoptLinger(c.conn.FD(), unix.SOL_SOCKET, unix.SO_LINGER, &noLinger)
 		if !failure.Classify(failure.Option, err).IsTemporary() {
 			break
 		}
@@ -243,7 +247,7 @@
 	c.close()
 }
 
-// EndAs ends the connection as the other side's was ended.
+// EndAs ends the connection the same way as the connection on the session's other side ended, without a last line.
 func (c *Conn) EndAs(how End) {
 	if how == Finished {
 		c.Finish(nil)
@@ -252,12 +256,14 @@
 	}
 }
 
+// close closes the descriptor.
 func (c *Conn) close() {
 	c.unsent = c.conn.Unsent()
 	c.release()
 	c.conn.Close()
 }
 
+// release sets the state to closed and gives back the timer and the descriptor's place in the limit.
 func (c *Conn) release() {
 	c.state = closed
 	c.timers.Stop(c.lingerTimer)
@@ -265,15 +271,16 @@
 	c.limit.Release(1)
 }
 
-// HandleClose tells that the event loop closes the connection. It may come in the midst of a write, so the owner is told later.
+// HandleClose handles that the event loop closes the connection. It may be called in the middle of a write, so the owner is told
+// once the current event is handled.
 func (c *Conn) HandleClose(err error) {
-	was := c.state
-	if was == closed {
+	previous := c.state
+	if previous == closed {
 		return
 	}
 	c.unsent = c.conn.Unsent()
 	c.release()
-	if was == open {
+	if previous == open {
 		how := Reset
 		if errors.Is(err, io.EOF) {
 			how = Finished
@@ -284,8 +291,8 @@
 	}
 }
 
-// HandleBroken tells that the connection is broken though the other end has ended nothing. One that is finishing goes on: its last
-// line may still arrive, and its time is limited.
+// HandleBroken handles that the network has broken the connection, though the other end has not ended it. A finishing connection is
+// left alone: its last line may still arrive, and lingerTimeout bounds its time.
 func (c *Conn) HandleBroken(err error) {
 	if c.state != open {
 		return
