--- a/choice/choice.go
+++ b/choice/choice.go
@@ -25,17 +25,18 @@
 	"time"
 )
 
-// Throughout this file a server's load is a fraction of what it can carry (1: full), and a session's load is the number of
-// cores that it keeps busy. A server is late if its messages take longer than their target, or if it drops sessions; else
-// it is in time.
+// Throughout this file a server's load is a fraction of what it can carry (1: full load), and a session's load is the
+// number of cores that it keeps busy. A carried load is the sum over this proxy's sessions, in cores, too. An average
+// session is a unit of load: the mean of the sessions' loads as reported last. A server is late if its messages take longer
+// than their target, or if it drops sessions; else it is in time.
 
 // Intervals and lifetimes.
 const (
 	roundInterval       = 2 * time.Second             // between two load samples, each of which is followed by new weights
-	delayReportInterval = roundInterval / 2           // between two reports of a server's message delay while messages are late
+	delayReportInterval = roundInterval / 2           // between two delays that are recorded for a server while it is late
 	delayReportLifetime = delayReportInterval * 3 / 2 // a report of a message delay counts for this long
 	minReportElapsed    = delayReportInterval / 2     // least divisor for the growth of the delay between two reports
-	lateShareLifetime   = delayReportInterval / 4     // the result of lateShare is used for this long
+	lateShareLifetime   = delayReportInterval / 4     // lifetime of the result of lateShare, which takes a pass over the fleet
 	maxLateRetryPause   = 30 * roundInterval          // the longest that a proxy sends nothing to a late server
 )
 
@@ -60,7 +61,7 @@
 
 // Late servers.
 const (
-	fullLoad           = 2.0 / 3 // observed load from which a server gets nothing new: messages take a third of their target
+	maxAdmissionLoad   = 2.0 / 3 // observed load from which a server gets nothing new: messages take a third of their target
 	maxDelayRatio      = 3       // a message delay counts as 3 times the target at most
 	usualDelayDivisor  = 3       // messages at a server without a backlog are taken to need a third of their target
 	minLoadRatio       = 0.5     // least ratio of load to capacity that two reports of a delay can show
@@ -69,7 +70,7 @@
 	limitRecovery      = 0.05    // share by which a limit rises in a round, for each round since the server was late
 	maxBacklogShare    = 0.4     // most of a late server's capacity that is kept free for its backlog
 	dropDivisor        = 4       // a server is late if it drops more than 1/4 of its sessions within a delayReportInterval
-	lateRetryIntervals = 4       // delayReportIntervals in which all proxies together send a late server its fair share again
+	lateRetryIntervals = 4       // delayReportIntervals in which proxies without a session there send a late server its fair share
 	lateSharePrior     = 2.0     // servers in time that lateShare adds, so that one late server of few says little
 	minUtility         = 1e-9    // replaces a utility of 0 where it divides
 )
@@ -85,31 +86,31 @@
 const (
 	groupParts             = 2 // parts of a split group
 	splitProxiesPerServer  = 3 // proxies for each server, at least
-	splitServersPerSession = 8 // servers for each session of this proxy, with 2 sessions added, at least
+	splitServersPerSession = 8 // servers for each session of this proxy (with 2 sessions added), at least
 )
 
 // Dials and retries.
 const (
 	minDialDivisor     = 16 // no dial goes out if less than 1/16 of the handshake target is left
-	dialTimeDivisor    = 2  // a dial that can be retried gets half of the handshake target at least, if that is left
+	dialTimeDivisor    = 2  // a dial with time kept for retries gets 1/2 of the handshake target at least, if that is left
 	shedRatio          = 2  // dials are shed if recent failed ones are more than twice the opened ones
 	maxAvoidTimeouts   = 4  // most dial timeouts for which a server that does not answer is avoided
-	toleratedErrors    = 1  // more errors in a row count as no answer, if this proxy holds no session at the server
+	toleratedErrors    = 1  // more failed dials count as unanswered, if this proxy holds no session at the server
 	windowSlackDivisor = 64 // 1/64 of the retry budget's window is the slack for other clocks that measure the window
 )
 
 // Cold servers, draining servers, subscriptions and overload reports.
 const (
 	quotaTolerance   = 1e-9 // average sessions: rounding errors of the loads sent in a slot
-	drainMoveDivisor = 2    // each round moves 1/2 of a draining server's load
-	backoffDoublings = 3    // the backoff between subscriptions doubles 3 times until it is at its longest
+	drainMoveDivisor = 2    // each round moves 1/2 of the load that a draining server carries
+	backoffDoublings = 3    // the backoff doubles with each failed subscription in a row, and is at its longest from the 3rd on
 	peerReportBudget = 0.01 // share of the worth of this proxy's sessions that its overload reports may cost
 )
 
 // Timer tokens.
 const (
 	tokenRound     TimerToken = iota // of the timer that ends a round
-	tokenSubscribe                   // plus a number: of the timers to subscribe, each of which replaces the one before
+	tokenSubscribe                   // plus the number of the timer to subscribe, from 1: only the latest counts
 )
 
 type sessionState int
@@ -151,7 +152,7 @@
 	server       *server                   // of the dial that is out, or the holder of the open session
 	countedLoad  float64                   // cores counted for it in carriedLoad of its server and of the Balancer
 	moveRank     float64                   // sessions of the highest rank are moved off their server first
-	listIndex    int                       // index in its server's list of dialing or held sessions
+	listIndex    int                       // index in the dialing or held list of its server
 	dialedAt     time.Duration             // of the last dial; -1: the client left an open session
 	mayHaveRun   bool                      // some dial may have run the session
 	firstServer  *server                   // of the first dial that may have run the session
@@ -170,37 +171,37 @@
 type server struct {
 	Entry
 	model         *model
-	effectiveSize float64 // the listed size times the model's speed, scaled so that the fleet's sum is the listed one
-	lastList      int     // number of the last list that named it
-	baseWeight    float64 // weight by which servers get keys in proportion to their sizes
-	adaptFactor   float64 // multiplies baseWeight, by what load samples showed
-	weight        float64 // of both, or on the ramp of a cold server, as of the last list or round
-	loadSamples   [loadSamplesKept]float64
-	sampleCount   int
-	dialing       []*session // sessions that have a dial to it out
-	held          []*session // open sessions
+	effectiveSize float64                  // the listed size times the model's speed, scaled to the fleet's listed sum
+	lastList      int                      // number of the last list that named it
+	baseWeight    float64                  // weight by which servers get keys in proportion to their effective sizes
+	adaptFactor   float64                  // multiplies baseWeight; adaptWeights sets it by the load samples
+	weight        float64                  // baseWeight * adaptFactor, or by the ramp; as of the last list or round
+	loadSamples   [loadSamplesKept]float64 // the last loads, one for each round, as a ring
+	sampleCount   int                      // samples since the server's start
+	dialing       []*session               // sessions that have a dial to it out
+	held          []*session               // open sessions
 
 	carriedLoad      float64       // cores, of this proxy's sessions that are dialing or held
-	loadLimit        float64       // cores that it can carry of this proxy's sessions; 0: not known, as it was never late
+	loadLimit        float64       // the carriedLoad that counts as full load; 0: not known, as it was never late
 	messageDelay     time.Duration // that a message takes, as reported last
-	delayReportedAt  time.Duration
+	delayReportedAt  time.Duration // when messageDelay was reported
 	lateAt           time.Duration // when it was last seen late; 0: never
 	loggedAt         time.Duration // when a line about it was last logged; 0: never
 	drainNoticeUntil time.Duration // gets nothing new until then, as it has moved a session away by itself
-	unansweredDials  int           // dials in a row without an answer
-	failedDials      int           // dials in a row that failed with an error, while this proxy held no session there
+	unansweredDials  int           // dials without an answer since it last accepted a session
+	failedDials      int           // dials since then that failed with an error while this proxy held no session there
 	avoidUntil       time.Duration // gets nothing until then, as it did not answer
 	drainListed      bool          // a list showed it draining; only a later start ends that
-	drainedStart     time.Duration // the start of the process that drains
+	drainedStart     time.Duration // the start of the process that drains; the least Duration if unknown
 
 	// This proxy's quota of load while the server is cold, see updateSlotQuota.
 	quotaSlot    int     // number of the time slot that the quota is for, plus 1; 0: none
 	slotQuota    float64 // load that this proxy may send in the slot, in average sessions
-	slotKeyShare float64 // share of this proxy's keys that go to the server in the slot
-	slotSent     float64 // used of slotQuota
+	slotKeyShare float64 // share of this proxy's keys that pickColdServer sends to the server in the slot
+	slotSent     float64 // used of slotQuota by dials in the slot, in average sessions
 
-	droppedSessions int // sessions that it dropped since dropsSince
-	dropsSince      time.Duration
+	droppedSessions int           // sessions that it dropped since dropsSince
+	dropsSince      time.Duration // when that count began
 }
 
 // Balancer makes the decisions of one proxy. It is not safe for concurrent use.
@@ -219,12 +220,12 @@
 	serverByID       map[ServerID]*server
 	ready            []*server // servers that the list lets be dialed, ordered by id
 	models           []*model
-	bySize           []*server    // the ready servers, the smallest first
+	bySize           []*server    // the ready servers, the smallest effective size first
 	scoring          []scoringRow // of the ready servers, in the same order
 	totalSize        float64      // of the ready servers, the same for listed and effective sizes
 	meanAdaptFactor  float64      // of the ready servers
-	loadThreshold    float64      // load above which a server counts as loaded, as of the last round
-	sustainedDensity float64      // the most sessions of this proxy for each unit of size that servers in time have held
+	loadThreshold    float64      // load up to which selectServer prefers a server, as of the last round
+	sustainedDensity float64      // the most sessions of this proxy for each unit of size that servers in time can carry
 
 	refusalLoggedAt     time.Duration // when the last line of a kind was logged, see logLimited
 	listFailureLoggedAt time.Duration
@@ -282,7 +283,7 @@
 func (b *Balancer) Reconfigure(now time.Duration, listeners []Listener, dials DialLimits, budget RetryBudget,
 	list ListSettings, cold ColdSettings, peerReports PeerReportSettings) {
 	b.now = now
-	if windowGrowth := budget.Window - b.retryBudget.Window; windowGrowth > 0 { // older retries are no longer known
+	if windowGrowth := budget.Window - b.retryBudget.Window; windowGrowth > 0 { // retries before the old window are forgotten
 		b.retriesBlockedUntil = max(b.retriesBlockedUntil, now+windowGrowth)
 	}
 	if cold != b.coldSettings {
@@ -353,7 +354,7 @@
 
 // updateWeights sets the weight of every ready server, once for each list and round. A cold server's share of the keys
 // should grow with its capacity share. With n servers a share of keys goes with about the (n-1)th power of the weight, so
-// the weight follows that root of the capacity share.
+// the weight follows that root of the capacity share. A cold server has the fleet's mean factor in place of its own.
 func (b *Balancer) updateWeights() {
 	b.meanAdaptFactor = 1
 	if count := len(b.ready); count > 0 {
@@ -409,8 +410,9 @@
 }
 
 // computeBaseWeights sets the base weights of the ready servers, so that each gets keys in proportion to its effective
-// size: Ross's recursion, from the smallest share of the fleet up. An effective size is the listed one times the model's
-// speed, scaled so that all together are the sum of the listed ones.
+// size: Ross's recursion, as in CARP (cache array routing protocol), from the smallest share of the fleet up. Only the
+// difference from the next smaller share adds to a weight. An effective size is the listed one times the model's speed,
+// scaled so that all together are the sum of the listed ones.
 func (b *Balancer) computeBaseWeights() {
 	b.bySize = append(b.bySize[:0], b.ready...)
 	speedTotal := 0.0
@@ -423,8 +425,10 @@
 		srv.effectiveSize = srv.Size * srv.model.speed * b.totalSize / speedTotal
 	}
 	slices.SortStableFunc(b.bySize, func(a, c *server) int { return cmp.Compare(a.effectiveSize, c.effectiveSize) })
+	// The product is of all weights so far; share and weight are those of the next smaller server.
 	product, previousShare, weight := 1.0, 0.0, 0.0
 	for i, srv := range b.bySize {
+		// remaining counts the servers that have no weight yet, this one included.
 		remaining, share := float64(len(b.bySize)-i), srv.effectiveSize/b.totalSize
 		if share > previousShare { // servers of equal size have equal weights
 			weight = math.Pow(remaining*(share-previousShare)/product+math.Pow(weight, remaining), 1/remaining)
@@ -489,8 +493,10 @@
 	return min((1+meanLoad)/2, (1-hysteresis)*meanLoad)
 }
 
-// adaptWeights multiplies the weights of all servers beyond the threshold by one factor, by which the nearest of them would
-// reach the threshold. A weight stays high enough for the server to keep minKeyShare of its keys.
+// adaptWeights multiplies the weights of all servers beyond the threshold by one factor, which is to bring the nearest of
+// them to the threshold: the ratio of the threshold to that server's load, of which it takes the root of order
+// log2(servers). A weight stays high enough for the server to keep minKeyShare of the keys that the mean factor would bring;
+// a share of keys goes with the (servers-1)th power of the weight, see updateWeights.
 func (b *Balancer) adaptWeights() {
 	if len(b.ready) == 0 {
 		return
@@ -501,7 +507,7 @@
 	}
 	meanLoad := sum / serverCount
 	threshold := thresholdFor(meanLoad)
-	b.loadThreshold = max(threshold, meanLoad)
+	b.loadThreshold = max(threshold, meanLoad) // above full load the threshold is below the mean
 	beyond := func(srv *server) bool {
 		return meanLoad <= 1 && srv.smoothedLoad() > threshold || meanLoad > 1 && srv.smoothedLoad() < threshold
 	}
@@ -537,8 +543,8 @@
 }
 
 // estimatedLoad returns a server's load, if it is given extraLoad cores: what is observed, or what this proxy's sessions
-// there suggest, if that is more. For the latter the fleet is taken to run at assumedLoad when this proxy's sessions are
-// spread by capacity.
+// there suggest, if that is more. For the latter, a server that carries its fair part of this proxy's load, by capacity, is
+// taken to run at assumedLoad.
 func (b *Balancer) estimatedLoad(srv *server, extraLoad float64) float64 {
 	if b.carriedLoad == 0 {
 		return b.observedLoad(srv)
@@ -547,10 +553,11 @@
 	return max(b.observedLoad(srv), assumedLoad*(srv.carriedLoad+extraLoad)/fairLoad)
 }
 
-// handleLate learns from late messages and dropped sessions how much a server can carry, and moves the excess away. While
-// there is a backlog, the delay grows as fast as load exceeds capacity, and shrinks as fast as load falls short of it:
-// growth is the change of the delay in seconds for each second. The backlog keeps all messages late until it is worked off,
-// so the server is relieved of more than the excess; backlog is the time that it takes to work off.
+// handleLate learns from late messages and dropped sessions how much a server can carry, and moves the excess away. growth
+// is the change of the message delay, in seconds for each second. While there is a backlog, the delay grows as fast as load
+// exceeds capacity, and shrinks as fast as load falls short of it, so the load is 1+growth times the capacity. The backlog,
+// given as the time that it takes to work off at full capacity, keeps all messages late until it is gone. So the server is
+// relieved of more than the excess, to work it off within one delayReportInterval if maxBacklogShare allows.
 func (b *Balancer) handleLate(srv *server, growth float64, backlog time.Duration) {
 	srv.lateAt = b.now
 	sustainableLoad := srv.carriedLoad / min(max(1+growth, minLoadRatio), maxLoadRatio)
@@ -608,9 +615,11 @@
 	return int(max(instant-srv.StartedAt, 0) / b.coldSettings.OverloadWindow)
 }
 
-// updateSlotQuota works out this proxy's quota for a cold server, once in each slot. The capacity of the warm server is not
+// updateSlotQuota works out this proxy's quota for a cold server, once in each slot. quota is what all proxies together may
+// send in any overload window, in average sessions, by the rule at ColdSettings. The capacity of the warm server is not
 // known; it is safe to assume that over its ramp it can be filled with as many sessions for its size as servers in time
-// have held. The quota is dealt in units of one session. Loads differ by listener, so each pair of slots takes the next
+// have held: sustainedDensity is that of this proxy, and all proxies are taken to be alike. The quota is dealt to the
+// proxies by their positions, in units of one session. Loads differ by listener, so each pair of slots takes the next
 // listener's usual load as the unit, and sessions of that load or less fit: light sessions have more slots than heavy ones.
 func (b *Balancer) updateSlotQuota(srv *server) {
 	slot := b.slotAt(srv, b.now)
@@ -618,12 +627,15 @@
 		return
 	}
 	srv.quotaSlot, srv.slotSent, srv.slotQuota, srv.slotKeyShare = slot+1, 0, 0, 0
+	// The capacity share at the start of the slot.
 	capacity := b.coldSettings.InitialShare +
 		(1-b.coldSettings.InitialShare)*float64(slot)*b.coldSettings.OverloadWindow.Seconds()/b.coldSettings.RampDuration.Seconds()
+	// The density is at least what runRound would work out if this proxy held one session.
 	quota := b.coldSettings.OverloadMultiple * b.coldSettings.OverloadWindow.Seconds() / b.coldSettings.RampDuration.Seconds() *
-		capacity * max(b.sustainedDensity, 1/fullLoad/b.totalSize) * srv.effectiveSize * float64(b.coldSettings.ProxyCount)
-	if quota < float64(b.coldSettings.ProxyCount) { // few of many proxies have a session for their quota
-		quota *= fullLoad / assumedLoad
+		capacity * max(b.sustainedDensity, 1/maxAdmissionLoad/b.totalSize) * srv.effectiveSize * float64(b.coldSettings.ProxyCount)
+	if quota < float64(b.coldSettings.ProxyCount) {
+		// Few of many proxies have a session for their quota, so warm servers are taken to run at assumedLoad instead.
+		quota *= maxAdmissionLoad / assumedLoad
 	}
 	unit := b.listenerRelativeLoad(b.listeners[(slot/2)%len(b.listeners)])
 	for _, listener := range b.listeners { // a small quota is dealt to light sessions, as more of them fit
@@ -641,6 +653,7 @@
 	position := (b.coldSettings.ProxyIndex + int(offset*float64(b.coldSettings.ProxyCount))) % b.coldSettings.ProxyCount
 	if units > position {
 		srv.slotQuota = unit * float64((units-position+b.coldSettings.ProxyCount-1)/b.coldSettings.ProxyCount)
+		// The share of keys that the ramp would bring if all proxies took part, times the proxies for each unit.
 		srv.slotKeyShare = min(b.fleetShare(srv)*capacity*float64(b.coldSettings.ProxyCount)/float64(units), 1)
 	}
 }
@@ -654,10 +667,11 @@
 	bestScore := 0.0
 	for _, srv := range b.rampingServers {
 		hash := keyHash(s.placementKey, srv.ID)
+		// Hashes are uniform within (0,1), so a share slotKeyShare of the keys passes.
 		if b.exceedsSlotQuota(s, srv) || hash <= 1-srv.slotKeyShare || srv.baseWeight*hash <= bestScore {
 			continue
 		}
-		if b.eligibleTrusted(s, srv) && !b.isFull(srv) && b.hasRoom(s, srv) {
+		if b.isEligible(s, srv) && !b.isTooLoaded(srv) && b.hasRoom(s, srv) {
 			best, bestScore = srv, srv.baseWeight*hash
 		}
 	}
@@ -815,7 +829,7 @@
 // Sessions.
 
 // setState is the only place where a session changes its state. It keeps the lists and loads of servers up to date. It
-// panics on a transition that is not valid.
+// panics on a transition that is not valid. srv is the server of the new state, nil if that has none.
 func (b *Balancer) setState(s *session, newState sessionState, srv *server) {
 	if !slices.Contains(validTransitions[s.state], newState) {
 		panic(fmt.Sprintf("session %d: invalid transition from state %d to state %d", s.ID, s.state, newState))
@@ -893,7 +907,7 @@
 	if err != nil {
 		return err
 	}
-	s.dials, s.mayHaveRun = 1, true
+	s.dials, s.mayHaveRun = 1, true // HandleDialEnd takes it to have dial 0
 	b.setState(s, stateOpen, srv)
 	return nil
 }
@@ -929,10 +943,10 @@
 
 // splitGroup returns the key by which a session of a group is placed: the group's, or where a group is split by its
 // clients, the key of the client's part. Groups are split where proxies are several times the servers and each observes few
-// of them, one for each of its sessions at most (two are added). Such a proxy can't see which groups are large, all proxies
-// would send a group to its one server however large it is, and few would learn that this server is late. The first part
-// has the group's own key, the other another order of servers. The price is that each server that holds sessions of a group
-// has the group's cost.
+// of them, one for each of its sessions at most; two are added, so no group is split over fewer than 16 servers. Such a
+// proxy can't see which groups are large, all proxies would send a group to its one server however large it is, and few
+// would learn that this server is late. The first part has the group's own key, the other another order of servers. The
+// price is that each server that holds sessions of a group has the group's cost.
 func (b *Balancer) splitGroup(group, client Key) Key {
 	if b.coldSettings.ProxyCount < splitProxiesPerServer*len(b.ready) ||
 		(len(b.sessions)+2)*splitServersPerSession > len(b.ready) {
@@ -955,7 +969,7 @@
 	var srv *server
 	if s.MidFlow && s.dials == 0 {
 		// The holder, which alone can continue the session, is most likely the top score. Its load does not matter.
-		srv = b.pick(s, (*Balancer).eligibleHolder)
+		srv = b.pick(s, (*Balancer).isEligibleHolder)
 	}
 	if srv == nil {
 		srv = b.pickColdServer(s)
@@ -965,14 +979,14 @@
 	}
 	if srv == nil && !slices.ContainsFunc(b.ready, b.isTrusted) {
 		// With no server that has answered, the fault may be this proxy's.
-		srv = b.pick(s, (*Balancer).eligibleLastResort)
+		srv = b.pick(s, (*Balancer).isEligibleLastResort)
 	}
 	if srv == nil {
 		b.logLimited(&b.refusalLoggedAt, "no server has room, refusing; %d ready", len(b.ready))
 		b.giveUp(s)
 		return
 	}
-	if s.Idempotency == Idempotent && b.hasRetryBudget() { // a dial that can't be retried gets all the time that is left
+	if s.Idempotency == Idempotent && b.hasRetryBudget() { // any other dial gets all the time that is left
 		timeout = max(timeout/time.Duration(s.MaxDials-s.dials), min(timeout, s.HandshakeTarget/dialTimeDivisor))
 	}
 	if b.capacityShare(srv) < 1 {
@@ -988,17 +1002,19 @@
 	b.front.Dial(s.ID, srv.ID, timeout)
 }
 
-// selectServer returns the server with the highest score, or if that has no room one of the next few that does, or nil.
-// Otherwise a hot group would fill its server while others stand idle. Each server that holds sessions of a group has the
-// group's cost, so no more than candidateCount servers are considered. A client that reconnects, probably moved off a late
-// server, skips a server that this proxy does not observe, with the probability that an observed one is late: otherwise
-// such clients would all go to the few servers that nobody has seen late yet, and make them late.
+// selectServer returns the server with the highest score that has room and a load up to the threshold, out of the next few.
+// Without any, it returns one that has room: the least loaded if the session's load is known, else that with the highest
+// score; or nil. With the highest score alone, a hot group would fill its server while others stand idle. Each server that
+// holds sessions of a group has the group's cost, so no more than candidateCount servers are considered. A client that
+// reconnects, probably moved off a late server, skips a server that this proxy does not observe, with the probability that
+// an observed one is late: otherwise such clients would all go to the few servers that nobody has seen late yet, and make
+// them late.
 func (b *Balancer) selectServer(s *session) *server {
 	var fallback *server
-	for _, candidate := range b.topScores(s, b.candidateCount(s), (*Balancer).eligibleTrusted) {
+	for _, candidate := range b.topScores(s, b.candidateCount(s), (*Balancer).isEligible) {
 		switch srv := candidate.server; {
 		case b.exceedsSlotQuota(s, srv):
-		case b.isFull(srv) || !b.hasRoom(s, srv):
+		case b.isTooLoaded(srv) || !b.hasRoom(s, srv):
 		case s.Reconnected && s.state != stateOpen && len(srv.held) == 0 && b.rng.Float64() < b.lateShare():
 		case b.estimatedLoad(srv, s.Load) <= b.loadThreshold:
 			return srv
@@ -1010,12 +1026,12 @@
 }
 
 // lateShare returns the share of late servers among those that this proxy observes: those that hold a session of its own,
-// and those known to be late or full.
+// and those that are too loaded. lateSharePrior servers in time are added.
 func (b *Balancer) lateShare() float64 {
 	if b.now-b.lateShareComputedAt > lateShareLifetime {
 		lateServers, timelyServers := 0.0, lateSharePrior
 		for _, srv := range b.ready {
-			if b.isFull(srv) {
+			if b.isTooLoaded(srv) {
 				lateServers++
 			} else if len(srv.held) > 0 {
 				timelyServers++
@@ -1026,10 +1042,10 @@
 	return b.cachedLateShare
 }
 
-// candidateCount returns how many servers of the highest scores a session may go to: as many as its group's share of this
-// proxy's sessions demands. Of few sessions, one of the group says little, so as many others as there are servers are
-// added. The more servers are late, the fewer: each further server that holds sessions of the group makes the overload
-// worse.
+// candidateCount returns how many servers of the highest scores a session may go to: in proportion to the number of servers
+// that its group would fill, which is the group's share of this proxy's sessions times the servers. Of few sessions, one of
+// the group says little, so as many others as there are servers are added. The more servers are late, the fewer: each
+// further server that holds sessions of the group makes the overload worse.
 func (b *Balancer) candidateCount(s *session) int {
 	if s.Group == 0 {
 		return maxCandidates
@@ -1046,27 +1062,27 @@
 			(s.listenerSettings.DedupScope != DedupCell || srv.Cell == s.firstServer.Cell)
 }
 
-// eligibleUntried lets servers pass that the session has not dialed yet.
-func (b *Balancer) eligibleUntried(s *session, srv *server) bool {
+// isUntriedInScope reports whether the session's earlier dials allow the server: it was not dialed, and is inDedupScope.
+func (b *Balancer) isUntriedInScope(s *session, srv *server) bool {
 	return !slices.Contains(s.triedServers[:min(s.dials, len(s.triedServers))], srv) && b.inDedupScope(s, srv)
 }
 
-// eligibleTrusted lets servers pass that answer, as far as is known. For an open session, which is to be moved, these are
-// all but its own.
-func (b *Balancer) eligibleTrusted(s *session, srv *server) bool {
+// isEligible reports whether an ordinary dial of the session may go to the server: it answers, as far as is known, and
+// earlier dials allow it. An open session, which is to be moved, may go to any that answers but its own.
+func (b *Balancer) isEligible(s *session, srv *server) bool {
 	if s.state == stateOpen { // its client would come back as a new session, with no server tried
 		return srv != s.server && b.isTrusted(srv)
 	}
-	return b.isTrusted(srv) && b.eligibleUntried(s, srv)
+	return b.isTrusted(srv) && b.isUntriedInScope(s, srv)
 }
 
-// eligibleLastResort lets servers pass that have not answered, if nothing else speaks against them.
-func (b *Balancer) eligibleLastResort(s *session, srv *server) bool {
-	return !b.isFull(srv) && b.eligibleUntried(s, srv) && !b.exceedsSlotQuota(s, srv)
+// isEligibleLastResort reports whether a session may go to a server that has not answered: nothing else speaks against it.
+func (b *Balancer) isEligibleLastResort(s *session, srv *server) bool {
+	return !b.isTooLoaded(srv) && b.isUntriedInScope(s, srv) && !b.exceedsSlotQuota(s, srv)
 }
 
-// eligibleHolder lets all servers pass that may hold a mid-flow session, full ones too.
-func (b *Balancer) eligibleHolder(s *session, srv *server) bool {
+// isEligibleHolder reports whether a server may hold a mid-flow session, even if it is too loaded.
+func (b *Balancer) isEligibleHolder(s *session, srv *server) bool {
 	return b.inDedupScope(s, srv) && !b.exceedsSlotQuota(s, srv)
 }
 
@@ -1076,16 +1092,17 @@
 	return srv.loadLimit == 0 || srv.carriedLoad == 0 || srv.carriedLoad+b.expectedLoad(s) <= srv.loadLimit
 }
 
-// isFull reports whether a server would serve none of its sessions in time if it had more. A proxy that holds no session at
-// a late server observes nothing of it. If many such proxies all tried it again every few seconds, they would keep it late.
-// So a proxy pauses for longer, the smaller its own fair number of sessions there is.
-func (b *Balancer) isFull(srv *server) bool {
+// isTooLoaded reports whether a server gets nothing new, as it would serve none of its sessions in time if it had more: its
+// observed load is too high, or it was late a short while ago. A proxy that holds no session at a late server observes
+// nothing of it. If many such proxies all tried it again every few seconds, they would keep it late. So such a proxy pauses
+// for longer, the smaller its own fair number of sessions there is.
+func (b *Balancer) isTooLoaded(srv *server) bool {
 	pause := delayReportInterval
 	if len(srv.held) == 0 {
 		fairSessions := b.fleetShare(srv) * float64(max(len(b.sessions), 1))
 		pause = min(time.Duration(lateRetryIntervals*float64(delayReportInterval)/fairSessions), maxLateRetryPause)
 	}
-	return srv.lateAt > 0 && b.now-srv.lateAt < pause || b.observedLoad(srv) >= fullLoad
+	return srv.lateAt > 0 && b.now-srv.lateAt < pause || b.observedLoad(srv) >= maxAdmissionLoad
 }
 
 // isTrusted reports whether a server is expected to answer. It is false for a while after a dial went unanswered, and from
@@ -1097,7 +1114,8 @@
 
 // shouldShed guards against dials that keep down something that all servers need to open a session, such as a shared store.
 // If more than two in three recent dials failed or timed out, whatever the server, some dials are given up by chance, so
-// that about three go out for each that opens. A few bad servers alone never cause that.
+// that about three go out for each that opens. A few bad servers alone never cause that. Mid-flow sessions
+// are not shed.
 func (b *Balancer) shouldShed(s *session) bool {
 	return !s.MidFlow && b.recentFailed > shedRatio*b.recentOpened &&
 		b.rng.Float64() < (b.recentFailed-shedRatio*b.recentOpened)/(b.recentFailed+1)
@@ -1149,7 +1167,7 @@
 
 // giveUp ends a session with its final answer, at once. Refuse promises that the session did no harm and can be tried
 // again, so a session that may have run is aborted, unless it is idempotent or every server drops its repeats. The advised
-// pause is one to two handshake targets, by chance, so that clients don't all come back at once.
+// pause is one to two handshake targets, by chance, so that clients don't all come back at once, and MaxRetryAfter at most.
 func (b *Balancer) giveUp(s *session) {
 	b.setState(s, stateEnded, nil)
 	if s.mayHaveRun && (s.Idempotency == NonIdempotent ||
@@ -1164,7 +1182,7 @@
 // MaySend reports whether the first line of the session's dial may be sent, now that its connection is established. It
 // guards against connections that take long: the window for repeats, or the slot of a cold server that the dial was counted
 // in, may have passed. If a retry's connection took longer than the slack of the retry budget's window, the retry is
-// counted again now.
+// counted again now. If the session has no dial out, the answer is true.
 func (b *Balancer) MaySend(now time.Duration, id SessionID) bool {
 	b.now = now
 	s := b.sessions[id]
@@ -1187,7 +1205,8 @@
 	return true
 }
 
-// HandleOpened records that a dial's server has accepted the session. A call for an earlier dial is ignored.
+// HandleOpened records that a dial's server has accepted the session. A call for an earlier dial is ignored. The server and
+// the time that the dial took have no effect.
 func (b *Balancer) HandleOpened(now time.Duration, id SessionID, _ ServerID, dial DialNumber, _ time.Duration) {
 	b.now = now
 	s := b.sessions[id]
@@ -1202,7 +1221,7 @@
 
 // HandleDialEnd records how a dial ended. With sessionEnded, or once the session was opened or its client has gone, the
 // session ends too. Otherwise the next dial goes out, or the session gets its final answer. A call for an earlier dial is
-// ignored.
+// ignored. The time that the dial took has no effect.
 func (b *Balancer) HandleDialEnd(now time.Duration, id SessionID, dial DialNumber, serverID ServerID, outcome Outcome,
 	_ time.Duration, sessionEnded bool) {
 	b.now = now
@@ -1268,6 +1287,7 @@
 // Reports of load and delay.
 
 // RecordSessionLoad records a session's load, in cores. It also counts for the client's next session and in the averages.
+// The number of the dial has no effect.
 func (b *Balancer) RecordSessionLoad(now time.Duration, id SessionID, _ DialNumber, load float64) {
 	b.now = now
 	if s := b.sessions[id]; s != nil {
@@ -1314,6 +1334,7 @@
 // worth.
 func (b *Balancer) maybePublishOverload(srv *server) {
 	otherProxies := float64(b.coldSettings.ProxyCount - 1)
+	// About as many proxies as there are sessions at the server, if all proxies hold as many as this one.
 	observers := b.fleetShare(srv) * float64(len(b.sessions)*b.coldSettings.ProxyCount)
 	affordable := float64(b.publishedReports+1)*otherProxies*b.peerReports.CostPerMessage <=
 		peerReportBudget*float64(b.newSessions)
@@ -1367,8 +1388,8 @@
 		}
 		srv.addLoadSample(b.estimatedLoad(srv, 0))
 	}
-	if timelySize == b.totalSize { // while no server is late, they could hold more
-		timelySessions /= fullLoad
+	if timelySize == b.totalSize { // while no server is late, they run at maxAdmissionLoad at most, and could hold more
+		timelySessions /= maxAdmissionLoad
 	}
 	if timelySize > b.totalSize/2 {
 		b.sustainedDensity = max(b.sustainedDensity, timelySessions/timelySize)
@@ -1386,13 +1407,14 @@
 // relieveServer moves the load that a server carries beyond targetLoad, in cores. First go sessions for which another
 // server has room, in the order in which falling weights would move their keys, so that groups leave whole and all proxies
 // choose alike. Above full load no session is served in time, so what remains is moved too, the most load for the least
-// utility first.
+// utility first: the rank of a session is the ratio of the two.
 func (b *Balancer) relieveServer(srv *server, targetLoad float64) {
 	remaining := b.moveSessions(srv, srv.carriedLoad-targetLoad, func(s *session) float64 {
 		target := b.selectServer(s)
 		if target == nil || b.estimatedLoad(target, s.Load) > b.loadThreshold {
 			return 0
 		}
+		// The ratio of the scores: the key moves once the weight of srv falls by this factor.
 		return target.weight * keyHash(s.placementKey, target.ID) / (srv.weight * keyHash(s.placementKey, srv.ID))
 	})
 	b.moveSessions(srv, remaining, func(s *session) float64 {
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -135,9 +135,10 @@
 	}
 }
 
-// TestMaySend: connections take up to a third of an overload window to be established. The load sent in a cold server's
-// slot, whichever slot the dial was placed in, is at most this proxy's quota for the slot. In no window more retries are
-// sent than the retry budget allows.
+// TestMaySend: a dial is counted when it goes out, but sent only when its connection is established, here up to a third of
+// an overload window later. So dials of one slot could add to those of the next, and retries could exceed a later window's
+// budget. The load sent in a cold server's slot, whichever slot the dial was placed in, is at most this proxy's quota for
+// the slot. In no window more retries are sent than the retry budget allows.
 func TestMaySend(t *testing.T) {
 	cold, sentDials := testCold, 0
 	cold.ProxyCount = 6
--- a/choice/cold_throng_test.go
+++ b/choice/cold_throng_test.go
@@ -15,9 +15,9 @@
 }
 
 // TestColdServersInBurst: 20 to 30 proxies that share nothing, with a few servers, get bursts of sessions. A new server,
-// small or large, and one that comes back cold must get from all proxies together no more than the settings allow, N
-// sessions of mean load, in any overload window, up to one whole session. A server would tolerate 2 x root of N + 2 more by
-// chance, of which the Balancer needs none. With seven in ten proxies killed and started again and again, the sum stays
+// small or large, and one that comes back cold must get from all proxies together no more than the settings allow in any
+// overload window: N sessions of mean load, and at most one session beyond. A server tolerates 2*sqrt(N)+2 more, to allow
+// for chance, of which the Balancer needs none. With seven in ten proxies killed and started again and again, the sum stays
 // within that tolerance. All the same the cold servers must get sessions.
 func TestColdServersInBurst(t *testing.T) {
 	const (
--- a/choice/slopes_test.go
+++ b/choice/slopes_test.go
@@ -205,12 +205,12 @@
 	}
 }
 
-// Cold settings of the stand-in platform, and how many sessions a proxy has for each server at the expected size.
+// Cold settings of the stand-in platform, and how many sessions a proxy has for each server at the expected fleet size.
 const (
-	slopeColdSpan   = 20 * time.Second
-	slopeColdWindow = 3 * time.Second
-	manySessions    = 42.75 // 85,500 sessions on 2,000 servers
-	fewSessions     = 4.275 // the same on 20,000 servers
+	slopeRampDuration   = 20 * time.Second
+	slopeOverloadWindow = 3 * time.Second
+	manySessions        = 42.75 // 85,500 sessions on 2,000 servers
+	fewSessions         = 4.275 // the same on 20,000 servers
 )
 
 func BenchmarkSlopeColdTurnsMany(b *testing.B) { slopeColdQuota(b, manySessions) }
@@ -231,8 +231,8 @@
 			quotaTotal := 0.0
 			for b.Loop() {
 				firstQuotaAt, quotaTotal = 0, 0
-				balancer.coldSettings = ColdSettings{RampDuration: slopeColdSpan, InitialShare: 0.2, OverloadMultiple: 3,
-					OverloadWindow: slopeColdWindow, ProxyCount: proxies, ProxyIndex: proxies / 3}
+				balancer.coldSettings = ColdSettings{RampDuration: slopeRampDuration, InitialShare: 0.2, OverloadMultiple: 3,
+					OverloadWindow: slopeOverloadWindow, ProxyCount: proxies, ProxyIndex: proxies / 3}
 				balancer.ApplyList(0, ListFull, entries)
 				balancer.sustainedDensity = sessionsPerServer
 				for _, srv := range balancer.servers {
@@ -248,9 +248,9 @@
 
 // coldQuota returns when the proxy has its first quota for a cold server that starts at 0, and the sum of its quotas there.
 func coldQuota(b *Balancer, srv *server) (firstAt time.Duration, quota float64) {
-	firstAt = slopeColdSpan // if there is none
+	firstAt = slopeRampDuration // if there is none
 	srv.quotaSlot = 0
-	for instant := time.Duration(0); instant < slopeColdSpan; instant += slopeColdWindow {
+	for instant := time.Duration(0); instant < slopeRampDuration; instant += slopeOverloadWindow {
 		b.now = instant
 		b.updateSlotQuota(srv)
 		if quota += srv.slotQuota; srv.slotQuota > 0 {
--- a/choice/types.go
+++ b/choice/types.go
@@ -69,7 +69,7 @@
 	MessageTarget   time.Duration // within which a message of an open session should be answered; 0: no target
 	Idempotency     Idempotency
 	DedupScope      DedupScope    // of IdempotencyKeyed sessions
-	DedupWindow     time.Duration // from a session's first dial, within which repeats are dropped
+	DedupWindow     time.Duration // from the first dial that may have run a session, within which repeats are dropped
 	Utility         float64       // worth of a session, relative to those of other listeners
 }
 
@@ -105,11 +105,12 @@
 
 // ColdSettings describe servers that have just started, and so how much all proxies together may send to one. A cold server
 // fails if within any OverloadWindow it is sent more sessions than OverloadMultiple * OverloadWindow / RampDuration times
-// as many as it can carry at present. This present capacity grows from InitialShare of the full one to all of it.
+// as many as it can carry at present, that is OverloadMultiple times what it would get in the window if this many sessions
+// came evenly over a ramp. This present capacity grows from InitialShare of the full one to all of it.
 type ColdSettings struct {
 	RampDuration     time.Duration // after a start; the server is warm after this at the latest; 0: servers start warm
 	InitialShare     float64       // share of its full capacity that a server has at its start, above 0, up to 1
-	OverloadMultiple float64
+	OverloadMultiple float64       // of an even arrival, see above
 	OverloadWindow   time.Duration
 	ProxyCount       int // proxies in the settings
 	ProxyIndex       int // this proxy's number among them, from 0
@@ -136,7 +137,7 @@
 const (
 	ListDelta  ListKind = iota // the entries that changed
 	ListFull                   // all entries
-	ListCached                 // all entries, of a stored copy: proves no subscription
+	ListCached                 // all entries, of a stored copy: does not show that a subscription is open
 	ListFailed                 // no entries: the subscription failed
 )
 
@@ -158,7 +159,7 @@
 type Arrival struct {
 	ID          SessionID
 	Listener    ListenerID
-	Tenant      TenantID
+	Tenant      TenantID      // no decision depends on it
 	TimeLeft    time.Duration // until the client must have its answer
 	Load        float64       // cores that the session keeps busy; 0 if unknown
 	Group       Key           // sessions of one group are cheaper on the same server; 0 if none
@@ -168,16 +169,16 @@
 	Settings    SessionSettings // zero: those of the session's listener at present
 }
 
-// SessionSettings are a listener's settings at one moment. A session keeps those that it arrived under. Who tells the
-// Balancer of a session later, perhaps after a Reconfigure, takes them from Balancer.SessionSettings when it arrives. The
-// zero value stands for the present settings of the session's listener.
+// SessionSettings are a listener's settings at one moment. A session keeps those that it arrived under. A caller that hands
+// a session to the Balancer later, perhaps after a Reconfigure, takes them from Balancer.SessionSettings when the session
+// arrives. The zero value stands for the present settings of the session's listener.
 type SessionSettings struct{ listener *listenerSettings }
 
 // Outcome is how a dial ended, or the session that it opened.
 type Outcome int
 
 const (
-	Accepted       Outcome = iota + 1 // the server took the session; ends in good order
+	Accepted       Outcome = iota + 1 // the server took the session, which has ended in good order
 	Failed                            // the server answered with an error, or with something malformed
 	ServerFull                        // the server answered that it takes no more
 	TimedOut                          // the server got the dial and did not answer in time
--- a/choice/weights_test.go
+++ b/choice/weights_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestSharesFollowSizes: servers get keys in proportion to their sizes, as Ross's recursion stays exact for large fleets.
+// TestSharesFollowSizes: servers get keys in proportion to their sizes. Ross's recursion must stay exact for large fleets.
 func TestSharesFollowSizes(t *testing.T) {
 	for servers, keys := range map[int]Key{9: 200000, 150: 100000, 1000: 40000} {
 		r := newFleet(servers)
@@ -54,7 +54,8 @@
 	}
 }
 
-// TestAdapt compares adaptWeights with factors worked out by hand, below and above full load, and for a single server.
+// TestAdapt: adaptWeights must change the weights of servers beyond the threshold only, and by the right factor. It is
+// compared with factors worked out by hand, below and above full load, and for a single server.
 func TestAdapt(t *testing.T) {
 	for _, c := range []struct{ loads, want []float64 }{
 		{[]float64{0.9, 0.1, 0.1, 0.1}, []float64{math.Sqrt(0.65 / 0.9), 1, 1, 1}},
