--- a/internal/aggregation/sums.go
+++ b/internal/aggregation/sums.go
@@ -68,7 +68,7 @@
 	return s.fadingSums[index]
 }
 
-// largestFading returns the largest fadingValue.
+// largestFadingValue returns the largest fadingValue.
 func (s *regionSums) largestFadingValue() (largest uint64) {
 	for _, value := range s.fadingSums {
 		largest = max(largest, value)
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -6,8 +6,8 @@
 // those of internal/sharing at the commits at which they were measured.
 const (
 	roundsPerSecond       = 0.5         // package choice: one round each roundInterval
-	sweepsPerSecond       = 10.0        // internal/proxy: sweeps per noteSpan
-	sumsPerSecond         = 1.0         // internal/proxy: one sum each noteSpan
+	sweepsPerSecond       = 10.0        // internal/proxy: sweeps per reportInterval
+	sumsPerSecond         = 1.0         // internal/proxy: one sum each reportInterval
 	flatInterval          = 0.5         // seconds between datagrams, the default
 	flatFanOut            = 4.0         // members that get a datagram in each interval
 	flatMaxMembers        = 512.0       // members in a member file at most
