--- a/cmd/chalkferry/scale.go
+++ b/cmd/chalkferry/scale.go
@@ -40,7 +40,7 @@
 // scaleWorkerCmd is a child process of scale.
 type scaleWorkerCmd struct{}
 
-func (c *scaleWorkerCmd) Run() error { return scale.Serve(os.Stdin, os.Stdout) }
+func (c *scaleWorkerCmd) Run() error { return scale.RunWorker(os.Stdin, os.Stdout) }
 
 func (c *scaleCmd) Run() error {
 	p, err := c.plan()
@@ -56,7 +56,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	r, err := scale.Run(ctx, p, scale.Options{Program: program, Worker: []string{"scale-worker"}, Commit: commit, Progress: progress()})
+	r, err := scale.Run(ctx, p, scale.Options{Program: program, WorkerArguments: []string{"scale-worker"}, Commit: commit, Progress: progress()})
 	clearProgress()
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 		p.Faults = nil
 	}
 	for _, kind := range c.Fault {
-		fault, ok := p.NamedFault(kind)
+		fault, ok := p.DefaultFault(kind)
 		if !ok {
 			return nil, fmt.Errorf("there is no fault %q, but %s", kind, strings.Join(scale.FaultKinds(), ", "))
 		}
@@ -132,10 +132,10 @@
 		return err
 	}
 	for _, hollow := range p.Steps {
-		if err := p.Fits(hollow, machine); err != nil {
+		if err := p.CheckResources(hollow, machine); err != nil {
 			return err
 		}
-		need := p.Need(hollow)
+		need := p.EstimateResources(hollow)
 		fmt.Printf("%d hollow members: some %d MB, %d processes, %d descriptors in the largest\n", hollow, need.Memory>>20, need.Processes, need.Descriptors)
 	}
 	fmt.Println("the scenario is good")
--- a/cmd/chalkferry/scale_test.go
+++ b/cmd/chalkferry/scale_test.go
@@ -38,7 +38,7 @@
 	}
 	folder := t.TempDir()
 	t.Setenv("TMPDIR", folder)
-	r, err := scale.Run(ctx, p, scale.Options{Program: self, Worker: []string{"scale-worker"}})
+	r, err := scale.Run(ctx, p, scale.Options{Program: self, WorkerArguments: []string{"scale-worker"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 	p := smallPlan(t)
 	p.Mute, p.Trials, p.Settle = []int{3}, 0, strict.Span(2*time.Second)
 	r := scaled(t.Context(), t, p)
-	if s := r.Steps[0]; r.OK() || s.Sum.Most > 1393 || !strings.Contains(strings.Join(s.Failed, "; "), "where 1400 is held") {
+	if s := r.Steps[0]; r.OK() || s.Sum.Max > 1393 || !strings.Contains(strings.Join(s.Failed, "; "), "where 1400 is held") {
 		t.Errorf("a member that reports nothing: %q, sums %+v", s.Failed, s.Sum)
 	}
 }
@@ -109,7 +109,7 @@
 	p := smallPlan(t)
 	p.Hollow, p.Trials = 30, 0
 	for _, kind := range []scale.FaultKind{scale.FaultRestart, scale.FaultZoneCut, scale.FaultAggregatorKill} {
-		fault, ok := p.NamedFault(string(kind))
+		fault, ok := p.DefaultFault(string(kind))
 		if !ok {
 			t.Fatal(kind)
 		}
--- a/internal/scale/doc.go
+++ b/internal/scale/doc.go
@@ -1,7 +1,8 @@
-// Package scale measures what the control work of a proxy costs in a fleet of thousands, on one machine. It starts
-// worker processes full of hollow members, a stand-in discovery service, and a few real proxies, changes something,
-// and reports what each role used and how long the change took to be known.
+// Package scale measures the processor time, memory and traffic that control work (shared counts, the server list,
+// settings) costs a proxy in a fleet of thousands, on one machine. A run starts worker processes that hold hollow members,
+// a stand-in discovery service, aggregators and a few real proxies. It then changes counts and the server list, injects
+// faults, and reports what each role used and how long each change took to reach the members.
 //
-// A hollow member runs the real control code (shared counts, the watch of the list of servers, the reading of
-// settings) without clients and servers. The package does not judge placement or sessions; that is internal/rehearse.
+// A hollow member runs the real control code (shared counts, the watch of the server list, the reading of settings)
+// without clients and servers. The package does not check placement or sessions; package rehearse does.
 package scale
--- a/internal/scale/faultrun.go
+++ b/internal/scale/faultrun.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// FaultReport is what a fault did.
+// FaultReport holds what was measured during and after one fault.
 type FaultReport struct {
 	Fault
 	Seconds     float64            `json:"lasted_seconds"`
-	Change      Spread             `json:"change_of_a_count_meanwhile"` // among the members that are not cut off
-	CutOff      int                `json:"members_cut_off"`
-	Recovery    Spread             `json:"all_sums_right_after_its_end"` // of all members
-	Member      MemberUsage        `json:"hollow_member"`                // the mean while it lasted
-	Aggregators []AggregatorReport `json:"aggregators"`                  // the same; without those that were killed
-	Sum         Sums               `json:"sum_at_its_end"`
-	Restarts    int                `json:"restarts"`
+	Change      PropagationTimes   `json:"change_of_a_count_meanwhile"`  // of a count changed during the fault; without the members that are cut off
+	CutOff      int                `json:"members_cut_off"`              // number of members that the change is not expected to reach
+	Recovery    PropagationTimes   `json:"all_sums_right_after_its_end"` // from the end of the fault until the sums of all members are right
+	Member      MemberUsage        `json:"hollow_member"`                // mean over the members, during the fault
+	Aggregators []AggregatorReport `json:"aggregators"`                  // during the fault; without aggregators that were killed
+	Sum         SumAccuracy        `json:"sum_at_its_end"`               // just before the fault is ended
+	Restarts    int                `json:"restarts"`                     // members that were restarted during the fault
 }
 
-// sumTolerance is the share by which a member's sum may be off to count as right: small changes go down in turn.
+// sumTolerance is the share by which a member's sum may be off to count as right. It is above 0 because aggregators send
+// small changes on with a delay, in turn.
 const sumTolerance = 0.01
 
-func (r *run) runFaults(ctx context.Context) error {
+func (r *stepRun) runFaults(ctx context.Context) error {
 	for _, fault := range r.plan.Faults {
 		report, err := r.runFault(ctx, fault)
 		if err != nil {
@@ -34,19 +35,20 @@
 	return nil
 }
 
-func (r *run) runFault(ctx context.Context, f Fault) (report FaultReport, err error) {
+// runFault injects one fault, changes the marked count while it lasts, and measures until all sums are right again.
+func (r *stepRun) runFault(ctx context.Context, f Fault) (report FaultReport, err error) {
 	report.Fault = f
-	marker := r.markerBeside(f)
+	changingMember := r.pickChangingMember(f)
 	before, aggregatorsBefore, err := r.measureAll(ctx, true)
 	if err != nil {
 		return report, err
 	}
 	began := time.Now()
-	if err := r.begin(f, marker); err != nil {
+	if err := r.beginFault(f, changingMember); err != nil {
 		return report, err
 	}
 	skip := r.plan.cutZones(f)
-	report.Change, _, report.CutOff, err = r.changeCount(ctx, marker, skip, f.For.D())
+	report.Change, _, report.CutOff, err = r.changeCount(ctx, changingMember, skip, f.For.D())
 	if err != nil {
 		return report, err
 	}
@@ -64,13 +66,14 @@
 		return report, err
 	}
 	report.Seconds = seconds(time.Since(began))
-	if err := r.end(ctx, f); err != nil {
+	if err := r.endFault(ctx, f); err != nil {
 		return report, err
 	}
 	report.Recovery, err = r.awaitSums(ctx, r.plan.Timeout.D())
 	return report, err
 }
 
+// restarts returns the number of member restarts over all processes.
 func restarts(usages []*Usage) (n int) {
 	for _, usage := range usages {
 		n += usage.Restarts
@@ -78,8 +81,8 @@
 	return n
 }
 
-// markerBeside returns a member whose change is not kept from others by a fault.
-func (r *run) markerBeside(f Fault) int {
+// pickChangingMember draws a member whose change the fault does not keep from the others, and which is not mute.
+func (r *stepRun) pickChangingMember(f Fault) int {
 	unheard := r.plan.unheardZones(f)
 	for {
 		member := r.rng.Intn(r.hollow)
@@ -89,85 +92,90 @@
 	}
 }
 
-func (r *run) begin(f Fault, marker int) error {
+// beginFault injects the fault. The changing member is kept from being restarted, as its change would be lost.
+func (r *stepRun) beginFault(f Fault, changingMember int) error {
 	switch f.Kind {
 	case FaultLossy:
-		r.aggregators.impair(f.Share, never)
+		r.aggregators.setImpairment(f.Share, noCut)
 		return r.impairMembers(Impairment{Lost: f.Share, Doubled: f.Share, Reordered: f.Share})
 	case FaultZoneCut:
 		return r.impairMembers(Impairment{CutIn: []int{f.Zone}, CutOut: []int{f.Zone}})
 	case FaultZoneCutOut:
 		return r.impairMembers(Impairment{CutOut: []int{f.Zone}})
 	case FaultRegionCut:
-		r.aggregators.impair(0, func(from, to int) bool { return from != to && (from == f.Region || to == f.Region) })
+		r.aggregators.setImpairment(0, func(from, to int) bool { return from != to && (from == f.Region || to == f.Region) })
 	case FaultRegionCutOut:
-		r.aggregators.impair(0, func(from, to int) bool { return from != to && from == f.Region })
+		r.aggregators.setImpairment(0, func(from, to int) bool { return from != to && from == f.Region })
 	case FaultRestart:
-		return r.restartMembers(f.Share, f.For.D(), marker)
+		return r.restartMembers(f.Share, f.For.D(), changingMember)
 	case FaultStartAll:
-		return r.restartMembers(1, 0, marker)
+		return r.restartMembers(1, 0, changingMember)
 	case FaultAggregatorKill:
-		r.aggregators.each[f.Aggregator].kill()
+		r.aggregators.processes[f.Aggregator].kill()
 	case FaultAggregatorFreeze:
-		return r.aggregators.each[f.Aggregator].signal(syscall.SIGSTOP)
+		return r.aggregators.processes[f.Aggregator].signal(syscall.SIGSTOP)
 	}
 	return nil
 }
 
-func never(int, int) bool { return false }
+// noCut cuts no link.
+func noCut(int, int) bool { return false }
 
-func (r *run) end(ctx context.Context, f Fault) error {
+// endFault undoes the fault. Restarts of members need no undoing.
+func (r *stepRun) endFault(ctx context.Context, f Fault) error {
 	switch f.Kind {
 	case FaultLossy, FaultZoneCut, FaultZoneCutOut, FaultRegionCut, FaultRegionCutOut:
-		r.aggregators.impair(0, never)
+		r.aggregators.setImpairment(0, noCut)
 		return r.impairMembers(Impairment{})
 	case FaultAggregatorKill:
-		a := r.aggregators.each[f.Aggregator]
+		a := r.aggregators.processes[f.Aggregator]
 		if err := a.start(); err != nil {
 			return err
 		}
-		return a.ready(ctx)
+		return a.waitReady(ctx)
 	case FaultAggregatorFreeze:
-		return r.aggregators.each[f.Aggregator].signal(syscall.SIGCONT)
+		return r.aggregators.processes[f.Aggregator].signal(syscall.SIGCONT)
 	}
 	return nil
 }
 
-func (r *run) impairMembers(impairment Impairment) error {
+// impairMembers changes the simulated network of all hollow members.
+func (r *stepRun) impairMembers(impairment Impairment) error {
 	_, err := askAll(r.workers, func(int) Request { return Request{Impair: &impairment} })
 	return err
 }
 
-func (r *run) restartMembers(share float64, within time.Duration, keep int) error {
+// restartMembers restarts a share of the members, spread over a time, except the member keep.
+func (r *stepRun) restartMembers(share float64, within time.Duration, keep int) error {
 	_, err := askAll(r.workers, func(i int) Request {
 		return Request{Restart: &Restart{Share: share, Within: within, Seed: r.plan.Seed + int64(i), Keep: keep}}
 	})
 	return err
 }
 
-// awaitSums waits until the sums of all members are right, or for a time at most.
-func (r *run) awaitSums(ctx context.Context, timeout time.Duration) (Spread, error) {
-	truth := float64(r.hollow) * commonHeld
-	bounds := []SumBound{{Name: commonName, AtLeast: truth * (1 - sumTolerance), AtMost: truth * (1 + sumTolerance)}}
+// awaitSums waits until the sums of the common count are right at all members, for the timeout at most.
+func (r *stepRun) awaitSums(ctx context.Context, timeout time.Duration) (PropagationTimes, error) {
+	trueSum := float64(r.hollow) * commonHeld
+	bounds := []SumBound{{Name: commonName, AtLeast: trueSum * (1 - sumTolerance), AtMost: trueSum * (1 + sumTolerance)}}
 	hollow, _, _, err := r.await(ctx, AwaitChange{Sums: bounds, Timeout: timeout}, func() (int64, error) {
 		return time.Now().UnixNano(), nil
 	})
 	return hollow, err
 }
 
-// memberMean is what a hollow member used between two measurements, with its share of its process.
+// memberMean returns the mean usage of a hollow member between two measurements, including its share of its process.
 func memberMean(before, after []*Usage) (m MemberUsage) {
 	members := 0.0
 	for i := 1; i < len(after); i++ {
-		was, is := before[i], after[i]
-		span := float64(is.At-was.At) / 1e9
-		members += float64(is.Members)
-		m.CPUShare += (is.CPU - was.CPU).Seconds() / span
-		m.MemoryBytes += float64(is.Resident)
-		m.BytesIn += float64(is.Sharing.BytesIn-was.Sharing.BytesIn) / span
-		m.BytesOut += float64(is.Sharing.BytesOut-was.Sharing.BytesOut) / span
-		m.PacketsIn += float64(is.Sharing.PacketsIn-was.Sharing.PacketsIn) / span
-		m.PacketsOut += float64(is.Sharing.PacketsOut-was.Sharing.PacketsOut) / span
+		first, last := before[i], after[i]
+		span := float64(last.At-first.At) / 1e9
+		members += float64(last.Members)
+		m.CPUShare += (last.CPU - first.CPU).Seconds() / span
+		m.MemoryBytes += float64(last.Resident)
+		m.BytesIn += float64(last.Sharing.BytesIn-first.Sharing.BytesIn) / span
+		m.BytesOut += float64(last.Sharing.BytesOut-first.Sharing.BytesOut) / span
+		m.PacketsIn += float64(last.Sharing.PacketsIn-first.Sharing.PacketsIn) / span
+		m.PacketsOut += float64(last.Sharing.PacketsOut-first.Sharing.PacketsOut) / span
 	}
 	for _, sum := range []*float64{&m.CPUShare, &m.MemoryBytes, &m.BytesIn, &m.BytesOut, &m.PacketsIn, &m.PacketsOut} {
 		*sum /= members
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -6,18 +6,19 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Fit is a straight line over the steps' numbers of members.
+// Fit is a linear regression of one figure over the numbers of hollow members of a run's steps.
 type Fit struct {
-	Figure    string  `json:"figure"`
-	Intercept float64 `json:"intercept"`
-	Slope     float64 `json:"slope_per_member"`
+	Figure    string  `json:"figure"`           // path of the figure in the report
+	Intercept float64 `json:"intercept"`        // in the figure's unit
+	Slope     float64 `json:"slope_per_member"` // in the figure's unit per member
 	RSquared  float64 `json:"r_squared"`
-	From      int     `json:"from_members"`
-	To        int     `json:"to_members"`
+	From      int     `json:"from_members"` // members of the first step
+	To        int     `json:"to_members"`   // members of the last step
 }
 
-// finish fits lines over the steps.
-func (r *Report) finish() {
+// fitSteps adds a regression of each figure over the steps that count: those neither interrupted nor void. Fewer than three
+// steps give none.
+func (r *Report) fitSteps() {
 	var steps []*StepReport
 	for _, s := range r.Steps {
 		if s.Interrupted == "" && !s.Void {
@@ -32,8 +33,8 @@
 		sizes = append(sizes, float64(s.Hollow))
 	}
 	for _, figure := range []struct {
-		name string
-		of   func(*StepReport) float64
+		name    string
+		valueOf func(*StepReport) float64
 	}{
 		{"hollow_member.cpu_share", func(s *StepReport) float64 { return s.Member.CPUShare }},
 		{"hollow_member.memory_bytes", func(s *StepReport) float64 { return s.Member.MemoryBytes }},
@@ -47,7 +48,7 @@
 	} {
 		var values []float64
 		for _, s := range steps {
-			values = append(values, figure.of(s))
+			values = append(values, figure.valueOf(s))
 		}
 		f := Fit{Figure: figure.name, From: steps[0].Hollow, To: steps[len(steps)-1].Hollow}
 		f.Intercept, f.Slope = stat.LinearRegression(sizes, values, nil, false)
@@ -58,7 +59,7 @@
 	}
 }
 
-// meanAggregator is the mean over the aggregators that were measured; a region has its share of the members.
+// meanAggregator returns the mean over the aggregators that were measured. Each serves the members of its region only.
 func (s *StepReport) meanAggregator() (mean RoleUsage) {
 	for _, a := range s.Aggregators {
 		n := float64(len(s.Aggregators))
--- a/internal/scale/limits.go
+++ b/internal/scale/limits.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Refusals of a run before its start.
+// Reasons to refuse a run before its start.
 var (
 	ErrMemory      = errors.New("it would take more than half of the machine's memory")
 	ErrProcesses   = errors.New("it would take too many processes")
@@ -16,30 +16,30 @@
 )
 
 const (
-	maxProcesses = 200
-	memoryPart   = 2 // a run may take one part in two of the machine's memory
+	maxProcesses  = 200 // of one step
+	memoryDivisor = 2   // a run may take half of the machine's memory
 )
 
-// What a run takes, for the estimate; rounded up from what runs measured (docs/scale.md).
+// Resources of a run, for the estimate; rounded up from measurements (docs/scale.md).
 const (
-	bytesWorker       = 32 << 20
-	bytesHollow       = 128 << 10 // without keys
-	bytesHollowKey    = 512       // of its own
-	bytesSum          = 192       // of each sum, at members and aggregators
-	bytesMemberKey    = 32        // of a member, at each aggregator of its region
-	bytesReal         = 96 << 20  // two proxies, one with shared state and one without
-	bytesCoordinator  = 128 << 20
-	socketsHollow     = 2 // shared state, and the watch of the list
-	socketsOfAProcess = 64
+	workerBytes         = 32 << 20  // process without members
+	hollowMemberBytes   = 128 << 10 // hollow member without keys
+	hollowKeyBytes      = 512       // key that a hollow member publishes
+	sumBytes            = 192       // sum, at each member and aggregator
+	aggregatorKeyBytes  = 32        // member's key, at each aggregator of its region
+	realProxyPairBytes  = 96 << 20  // two proxies, one with shared state and one without
+	coordinatorBytes    = 128 << 20 // this process
+	hollowMemberSockets = 2         // shared state, and the watch of the server list
+	processDescriptors  = 64        // descriptors that a process has besides those of members
 )
 
-// Machine is what a run may take of.
+// Machine holds the limits that a run is checked against.
 type Machine struct {
-	Memory      uint64 // bytes
-	Descriptors uint64 // of a process
+	Memory      uint64 // bytes of physical memory
+	Descriptors uint64 // soft limit of a process
 }
 
-// ThisMachine returns what this machine has.
+// ThisMachine returns the limits of the machine and process that it runs in.
 func ThisMachine() (Machine, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -59,34 +59,35 @@
 	return Machine{Memory: *memory.MemTotalBytes, Descriptors: limit.Cur}, nil
 }
 
-// Need is what a step of a run would take.
-type Need struct {
+// ResourceEstimate is what a step of a run is expected to take.
+type ResourceEstimate struct {
 	Memory      uint64 `json:"memory_bytes"`
-	Processes   int    `json:"processes"`
-	Descriptors int    `json:"descriptors"` // of the process that has most
+	Processes   int    `json:"processes"`   // including this one
+	Descriptors int    `json:"descriptors"` // of the process that needs most
 }
 
-// Need estimates what a step takes.
-func (p *Plan) Need(hollow int) Need {
-	sizes := p.split(hollow)
+// EstimateResources estimates what a step with a number of hollow members takes.
+func (p *Plan) EstimateResources(hollow int) ResourceEstimate {
+	sizes := p.splitMembers(hollow)
 	largest := 0
 	for _, size := range sizes {
 		largest = max(largest, size)
 	}
 	members := uint64(hollow)
-	return Need{
-		Memory: bytesCoordinator + uint64(len(sizes)+1)*bytesWorker + uint64(p.Real)*bytesReal +
-			uint64(p.Regions*aggregatorsPerRegion)*(bytesWorker+uint64(p.Servers)*bytesSum) +
-			members*(bytesHollow+uint64(p.Keys)*bytesHollowKey+uint64(p.Servers)*bytesSum+aggregatorsPerRegion*uint64(p.Keys)*bytesMemberKey),
+	return ResourceEstimate{
+		Memory: coordinatorBytes + uint64(len(sizes)+1)*workerBytes + uint64(p.Real)*realProxyPairBytes +
+			uint64(p.Regions*aggregatorsPerRegion)*(workerBytes+uint64(p.Servers)*sumBytes) +
+			members*(hollowMemberBytes+uint64(p.Keys)*hollowKeyBytes+uint64(p.Servers)*sumBytes+aggregatorsPerRegion*uint64(p.Keys)*aggregatorKeyBytes),
 		Processes:   1 + len(sizes) + 1 + 2*p.Real + p.Regions*aggregatorsPerRegion,
-		Descriptors: max(largest*socketsHollow, hollow) + socketsOfAProcess, // the list service has a connection of each
+		Descriptors: max(largest*hollowMemberSockets, hollow) + processDescriptors, // the discovery service has a connection to each member
 	}
 }
 
-// Fits tells why a step can't be run on a machine, nil if it can.
-func (p *Plan) Fits(hollow int, m Machine) error {
-	switch need := p.Need(hollow); {
-	case need.Memory > m.Memory/memoryPart:
+// CheckResources returns why a step can't be run on a machine, nil if it can: an error that wraps ErrMemory, ErrProcesses or
+// ErrDescriptors.
+func (p *Plan) CheckResources(hollow int, m Machine) error {
+	switch need := p.EstimateResources(hollow); {
+	case need.Memory > m.Memory/memoryDivisor:
 		return fmt.Errorf("%d hollow members with %d keys: %w: some %d MB of %d", hollow, p.Keys, ErrMemory, need.Memory>>20, m.Memory>>20)
 	case need.Processes > maxProcesses:
 		return fmt.Errorf("%d hollow members: %w: %d, %d are allowed", hollow, ErrProcesses, need.Processes, maxProcesses)
--- a/internal/scale/link.go
+++ b/internal/scale/link.go
@@ -23,25 +23,27 @@
 		PacketsOut: t.PacketsOut + o.PacketsOut}
 }
 
-// Impairment is what is wrong with the network between hollow members and aggregators.
+// Impairment describes faults of the simulated network between hollow members and aggregators. Lost, Doubled and Reordered
+// are shares of the datagrams, in each direction.
 type Impairment struct {
-	Lost      float64 // shares of the datagrams, in each direction
-	Doubled   float64
+	Lost      float64
+	Doubled   float64 // duplicated
 	Reordered float64
 	CutIn     []int // zones whose members receive nothing
-	CutOut    []int // zones whose members reach nobody
+	CutOut    []int // zones from whose members nothing is sent
 }
 
-func (i *Impairment) isNone() bool {
+func (i *Impairment) isZero() bool {
 	return i.Lost == 0 && i.Doubled == 0 && i.Reordered == 0 && len(i.CutIn) == 0 && len(i.CutOut) == 0
 }
 
-// network is the one of a worker process.
+// network is the simulated network of a worker process, shared by its members.
 type network struct {
-	impairment atomic.Pointer[Impairment] // nil: none
+	impairment atomic.Pointer[Impairment] // nil for none
 }
 
-// link is one member's socket: it counts, and loses, doubles and reorders as the network says.
+// link is the connection of one member to the simulated network. It counts datagrams, and loses, duplicates, reorders and
+// blocks them by the network's impairment.
 type link struct {
 	network *network
 	zone    int
@@ -49,32 +51,34 @@
 	bytesIn, bytesOut, packetsIn, packetsOut atomic.Int64
 }
 
-// overtakeDelay is how late a datagram that is to be overtaken is sent: some of its member's intervals.
-const overtakeDelay = time.Second
+// memberReorderDelay is how late a datagram is sent that others are to overtake: several of its member's send intervals.
+const memberReorderDelay = time.Second
 
+// traffic returns what the member has sent and received.
 func (l *link) traffic() Traffic {
 	return Traffic{BytesIn: l.bytesIn.Load(), BytesOut: l.bytesOut.Load(), PacketsIn: l.packetsIn.Load(), PacketsOut: l.packetsOut.Load()}
 }
 
-// count adds what a member before this one has sent and received.
-func (l *link) count(t Traffic) {
+// add adds the traffic of the member that this one replaces after a restart.
+func (l *link) add(t Traffic) {
 	l.bytesIn.Add(t.BytesIn)
 	l.bytesOut.Add(t.BytesOut)
 	l.packetsIn.Add(t.PacketsIn)
 	l.packetsOut.Add(t.PacketsOut)
 }
 
+// wrap returns a socket whose traffic passes the link.
 func (l *link) wrap(socket sharing.Socket) sharing.Socket {
 	return &linkSocket{Socket: socket, link: l}
 }
 
-// linkSocket is read by one goroutine and may be written by several.
+// linkSocket is a member's socket. One goroutine reads it; several may write.
 type linkSocket struct {
 	sharing.Socket
 	link *link
 
-	held    *packet  // received, to come after the next one
-	pending []packet // to come before the socket is read again
+	delayed *packet  // received, and delivered after the next one
+	pending []packet // received, and delivered before the socket is read again
 
 }
 
@@ -83,6 +87,7 @@
 	from    netip.AddrPort
 }
 
+// ReadFromUDPAddrPort returns the next packet that the impairment lets through. All received packets are counted.
 func (s *linkSocket) ReadFromUDPAddrPort(buffer []byte) (int, netip.AddrPort, error) {
 	for {
 		if len(s.pending) > 0 {
@@ -97,7 +102,7 @@
 		s.link.bytesIn.Add(int64(size))
 		s.link.packetsIn.Add(1)
 		impairment := s.link.network.impairment.Load()
-		if impairment == nil && s.held == nil {
+		if impairment == nil && s.delayed == nil {
 			return size, from, nil
 		}
 		if impairment == nil {
@@ -106,26 +111,27 @@
 		if slices.Contains(impairment.CutIn, s.link.zone) || rand.Float64() < impairment.Lost {
 			continue
 		}
-		s.arrive(packet{slices.Clone(buffer[:size]), from}, impairment)
+		s.deliver(packet{slices.Clone(buffer[:size]), from}, impairment)
 	}
 }
 
-// arrive puts a packet in its place among those to be received.
-func (s *linkSocket) arrive(p packet, impairment *Impairment) {
-	if s.held == nil && rand.Float64() < impairment.Reordered {
-		s.held = &p
+// deliver queues a received packet for the reader, duplicated or reordered by the impairment.
+func (s *linkSocket) deliver(p packet, impairment *Impairment) {
+	if s.delayed == nil && rand.Float64() < impairment.Reordered {
+		s.delayed = &p
 		return
 	}
 	s.pending = append(s.pending, p)
 	if rand.Float64() < impairment.Doubled {
 		s.pending = append(s.pending, p)
 	}
-	if s.held != nil {
-		s.pending = append(s.pending, *s.held)
-		s.held = nil
+	if s.delayed != nil {
+		s.pending = append(s.pending, *s.delayed)
+		s.delayed = nil
 	}
 }
 
+// WriteToUDPAddrPort sends a datagram by the impairment. A datagram that is lost is counted, and reported as sent.
 func (s *linkSocket) WriteToUDPAddrPort(datagram []byte, to netip.AddrPort) (int, error) {
 	s.link.bytesOut.Add(int64(len(datagram)))
 	s.link.packetsOut.Add(1)
@@ -138,7 +144,7 @@
 	}
 	if rand.Float64() < impairment.Reordered {
 		later := slices.Clone(datagram)
-		time.AfterFunc(overtakeDelay, func() { s.Socket.WriteToUDPAddrPort(later, to) }) // lost if the socket is closed by then
+		time.AfterFunc(memberReorderDelay, func() { s.Socket.WriteToUDPAddrPort(later, to) }) // fails if the socket is closed by then: the datagram is lost
 		return len(datagram), nil
 	}
 	if rand.Float64() < impairment.Doubled {
--- a/internal/scale/listservice.go
+++ b/internal/scale/listservice.go
@@ -14,29 +14,30 @@
 	"chalkferry/internal/discovery"
 )
 
-// listService is the stand-in discovery service of all hollow members: one address, each change encoded once for
-// thousands of watches, and a count of the bytes. The one of internal/standin/list, which judges what each proxy was
-// sent, serves the real proxies.
+// listService is the stand-in discovery service of the hollow members: one address, each change encoded once for thousands
+// of watches, and a count of the bytes. Real proxies use the one of internal/standin/list, which checks what each proxy was
+// sent.
 type listService struct {
 	server   *http.Server
 	listener *countingListener
 
 	mu      sync.Mutex
 	servers []discovery.Server
-	deltas  [][]byte      // the line of revision n is at n - firstChange
-	changed chan struct{} // closed at each change
+	deltas  [][]byte      // encoded changes: revision n is at n - firstChange
+	changed chan struct{} // closed and replaced at each change
 }
 
 const (
-	listReadTimeout = 5 * time.Second
-	firstRevision   = 1
-	firstChange     = firstRevision + 1
-	listPath        = "/api/targets"
+	listReadTimeout     = 5 * time.Second
+	firstRevision       = 1                 // of the list that the service starts with
+	firstChangeRevision = firstRevision + 1 // revision of the first change
+	listPath            = "/api/targets"
 )
 
+// newListService starts the service on a free port of the loopback address.
 func newListService(request *ServeList) (*listService, error) {
 	s := &listService{changed: make(chan struct{})}
-	for i := range request.Servers {
+	for i := range request.Servers { // four servers to a cell; hollow members never dial the addresses
 		s.servers = append(s.servers, discovery.Server{ID: serverName(i), HostPort: fmt.Sprintf("127.0.0.1:%d", 1+i%65535),
 			Zone: zoneName(i % request.Zones), Model: "stand-in", Cell: uint16(i / 4), Phase: discovery.Ready, Size: 1})
 	}
@@ -46,7 +47,7 @@
 	}
 	s.listener = &countingListener{Listener: listener}
 	s.server = &http.Server{Handler: s, ReadHeaderTimeout: listReadTimeout}
-	go s.server.Serve(s.listener) // ends with the server
+	go s.server.Serve(s.listener) // returns after close
 	return s, nil
 }
 
@@ -69,9 +70,10 @@
 	return revision, nil
 }
 
-// revision needs the lock.
+// revision returns the current revision. The caller holds mu.
 func (s *listService) revision() uint64 { return firstRevision + uint64(len(s.deltas)) }
 
+// encodeList returns a list as one line of JSON.
 func encodeList(list discovery.List) ([]byte, error) {
 	if list.Servers == nil {
 		list.Servers = []discovery.Server{}
@@ -80,7 +82,8 @@
 	return append(line, '\n'), err
 }
 
-// since returns what a watch that has a revision is to be sent, and what closes at the next change.
+// since returns the lines that bring a watch from a revision to the current one, that revision, and a channel that is closed
+// at the next change. A revision that the service does not have gets the complete list.
 func (s *listService) since(after uint64) (lines []byte, revision uint64, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,22 +98,23 @@
 	return lines, revision, changed, nil
 }
 
+// ServeHTTP answers a watch: the lines since its revision, then each change, and an empty line at each heartbeat.
 func (s *listService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != listPath {
 		http.NotFound(w, r)
 		return
 	}
-	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // without: the whole list
-	beat := time.NewTicker(discovery.Heartbeat)
-	defer beat.Stop()
+	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // 0 if it is missing: the complete list
+	heartbeat := time.NewTicker(discovery.Heartbeat)
+	defer heartbeat.Stop()
 	for isFirst := true; ; isFirst = false {
 		lines, revision, changed, err := s.since(after)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		if isFirst && len(lines) == 0 { // the answer to the watch, though nothing is new
-			lines, _ = encodeList(discovery.List{Revision: revision}) // of plain values: it can't fail
+		if isFirst && len(lines) == 0 { // a watch is answered at once, though there is no change
+			lines, _ = encodeList(discovery.List{Revision: revision}) // a list without servers always encodes
 		}
 		if len(lines) > 0 && !send(w, lines) {
 			return
@@ -118,7 +122,7 @@
 		after = revision
 		select {
 		case <-changed:
-		case <-beat.C:
+		case <-heartbeat.C:
 			if !send(w, []byte("\n")) {
 				return
 			}
@@ -128,6 +132,7 @@
 	}
 }
 
+// send writes and flushes lines; false if the connection is broken.
 func send(w http.ResponseWriter, lines []byte) bool {
 	if _, err := w.Write(lines); err != nil {
 		return false
@@ -136,6 +141,7 @@
 	return true
 }
 
+// traffic returns the TCP payload bytes of all connections; packets are counts of reads and writes.
 func (s *listService) traffic() Traffic {
 	l := s.listener
 	return Traffic{BytesIn: l.bytesIn.Load(), BytesOut: l.bytesOut.Load(), PacketsIn: l.reads.Load(), PacketsOut: l.writes.Load()}
@@ -143,7 +149,7 @@
 
 func (s *listService) close() { s.server.Close() }
 
-// countingListener counts what passes its connections.
+// countingListener counts the bytes, reads and writes of its connections.
 type countingListener struct {
 	net.Listener
 	bytesIn, bytesOut, reads, writes atomic.Int64
@@ -157,25 +163,27 @@
 	return &countingConn{Conn: conn, counts: l}, nil
 }
 
+// countingConn adds its traffic to its listener's counts.
 type countingConn struct {
 	net.Conn
 	counts *countingListener
 }
 
-func (c *countingConn) Read(to []byte) (int, error) {
-	n, err := c.Conn.Read(to)
+func (c *countingConn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
 	c.counts.bytesIn.Add(int64(n))
 	c.counts.reads.Add(1)
 	return n, err
 }
 
-func (c *countingConn) Write(from []byte) (int, error) {
-	n, err := c.Conn.Write(from)
+func (c *countingConn) Write(buffer []byte) (int, error) {
+	n, err := c.Conn.Write(buffer)
 	c.counts.bytesOut.Add(int64(n))
 	c.counts.writes.Add(1)
 	return n, err
 }
 
+// serveList starts the discovery service in this process.
 func (w *worker) serveList(request *ServeList) (Reply, error) {
 	if w.list != nil {
 		return Reply{}, errors.New("the list is served already")
@@ -188,6 +196,7 @@
 	return Reply{Address: service.listener.Addr().String()}, nil
 }
 
+// changeList changes the phase of a server.
 func (w *worker) changeList(request *ChangeList) (Reply, error) {
 	if w.list == nil {
 		return Reply{}, errors.New("no list is served here")
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -7,8 +7,8 @@
 	"chalkferry/internal/aggregation"
 )
 
-// endReal ends the real proxies and takes what their clients saw.
-func (r *run) endReal(context.Context) error {
+// stopRealProxies stops the real proxies and records their number of sessions and of broken rules.
+func (r *stepRun) stopRealProxies(context.Context) error {
 	if r.real == nil {
 		return nil
 	}
@@ -22,7 +22,8 @@
 	return nil
 }
 
-func (r *run) measure() ([]*Usage, error) {
+// measureProcesses returns the usage of the list service, followed by that of the workers in order.
+func (r *stepRun) measureProcesses() ([]*Usage, error) {
 	replies, err := askAll(append([]*child{r.list}, r.workers...), func(int) Request { return Request{Measure: &Measure{}} })
 	if err != nil {
 		return nil, err
@@ -30,38 +31,40 @@
 	usages := make([]*Usage, len(replies))
 	for i, reply := range replies {
 		if usages[i] = reply.Usage; usages[i] == nil {
-			return nil, errors.New("a process did not say what it uses")
+			return nil, errors.New("a process replied without its usage")
 		}
 	}
 	return usages, nil
 }
 
-// measureAll measures list service, workers and aggregators on one side of a window.
-func (r *run) measureAll(ctx context.Context, isBefore bool) ([]*Usage, []aggregatorUsage, error) {
+// measureAll measures list service, workers and aggregators, before or after a measured interval. The aggregators come first
+// before the interval and last after it.
+func (r *stepRun) measureAll(ctx context.Context, isBefore bool) ([]*Usage, []aggregatorUsage, error) {
 	var aggregators []aggregatorUsage
 	if isBefore {
-		aggregators = r.aggregators.usage(ctx, true)
+		aggregators = r.aggregators.measure(ctx, true)
 	}
-	usages, err := r.measure()
+	usages, err := r.measureProcesses()
 	if !isBefore {
-		aggregators = r.aggregators.usage(ctx, false)
+		aggregators = r.aggregators.measure(ctx, false)
 	}
 	return usages, aggregators, err
 }
 
-func (r *run) measureCalm(ctx context.Context) error {
+// measureWithoutChanges records what each role uses while nothing changes, and how exact the members' sums are.
+func (r *stepRun) measureWithoutChanges(ctx context.Context) error {
 	before, aggregatorsBefore, err := r.measureAll(ctx, true)
 	if err != nil {
 		return err
 	}
-	realBefore, err := r.measureReal()
+	realBefore, err := r.measureRealProxies()
 	if err != nil {
 		return err
 	}
 	if err := sleep(ctx, r.plan.For.D()); err != nil {
 		return err
 	}
-	realAfter, err := r.measureReal()
+	realAfter, err := r.measureRealProxies()
 	if err != nil {
 		return err
 	}
@@ -71,38 +74,41 @@
 	}
 	if r.real != nil {
 		r.report.RealProxy = &RealUsage{}
-		r.report.RealProxy.measure(realBefore, realAfter)
+		r.report.RealProxy.setDifference(realBefore, realAfter)
 	}
-	r.report.calm(before, after)
+	r.report.recordUsage(before, after)
 	r.report.Aggregators = r.aggregators.report(aggregatorsBefore, aggregatorsAfter)
 	r.report.Sum, err = r.readSums()
 	return err
 }
 
-func (r *run) readSums() (Sums, error) {
+// readSums compares the common count's sum at each member with the true one.
+func (r *stepRun) readSums() (SumAccuracy, error) {
 	replies, err := askAll(r.workers, func(int) Request { return Request{Sums: &ReadSums{}} })
 	if err != nil {
-		return Sums{}, err
+		return SumAccuracy{}, err
 	}
 	var sums []aggregation.Figure
 	for _, reply := range replies {
 		sums = append(sums, reply.Sums...)
 	}
-	return newSums(sums, float64(r.hollow)*commonHeld), nil
+	return newSumAccuracy(sums, float64(r.hollow)*commonHeld), nil
 }
 
-func (r *run) measureReal() (realUsage, error) {
+// measureRealProxies returns the usage of the real proxies, zero if there are none.
+func (r *stepRun) measureRealProxies() (realUsage, error) {
 	if r.real == nil {
 		return realUsage{}, nil
 	}
-	return r.real.usage()
+	return r.real.measure()
 }
 
-func (r *run) measureLateness(context.Context) error {
-	usages, err := r.measure()
+// measureLateness records how late the generator's ticks were in the worker processes, since their start.
+func (r *stepRun) measureLateness(context.Context) error {
+	usages, err := r.measureProcesses()
 	if err != nil {
 		return err
 	}
-	r.report.lateness(usages[1:])
+	r.report.recordLateness(usages[1:])
 	return nil
 }
--- a/internal/scale/member.go
+++ b/internal/scale/member.go
@@ -14,52 +14,53 @@
 )
 
 const (
-	publishInterval = time.Second // as a proxy does
-	connectTimeout  = 2 * time.Second
-	answerTimeout   = 10 * time.Second
-	minRewatch      = 100 * time.Millisecond // after a watch that failed
-	maxRewatch      = time.Second
+	publishInterval = time.Second            // the same as a proxy's
+	connectTimeout  = 2 * time.Second        // of a watch of the server list
+	answerTimeout   = 10 * time.Second       // of a watch of the server list
+	minRewatch      = 100 * time.Millisecond // shortest wait after a watch that failed
+	maxRewatch      = time.Second            // longest wait after a watch that failed
 )
 
-// Names of the counts that the run looks at. Both are kept apart from the names of servers.
+// Names of the counts that the run checks. They are counts by listener, so that they can't clash with the names of servers.
 const (
-	markedName = "scale-marked" // held by one member, changed in trials
-	commonName = "scale-common" // held by all members alike
-	commonHeld = 7
+	markedName = "scale-marked" // marked count: raised in trials and during faults, each time by one member
+	commonName = "scale-common" // common count: published by all members with the same value
+	commonHeld = 7              // sessions of the common count that each member publishes
 )
 
 // member is one hollow member.
 type member struct {
-	spec    MemberSpec
-	link    *link
-	sharer  sharer
-	watcher *discovery.Watcher
-	mark    atomic.Uint32
-	servers atomic.Pointer[[]sharing.SessionCount] // as published last
-	ended   chan struct{}                          // closed by close
-	ends    sync.Once
-
-	mu       sync.Mutex // the member's event loop: one call at a time
+	spec        MemberSpec
+	link        *link
+	sharedState sharedState
+	watcher     *discovery.Watcher
+	mark        atomic.Uint32                          // sessions of the marked count that it publishes, 0 for none
+	servers     atomic.Pointer[[]sharing.SessionCount] // counts that were published last, without the marked one
+	done        chan struct{}                          // closed by close
+	closeOnce   sync.Once
+
+	mu       sync.Mutex // stands for the event loop of a proxy: one call at a time
 	closed   bool
-	revision uint64
-	lists    int
+	revision uint64 // of the server list
+	lists    int    // number of lists and changes received
 }
 
-// startMember starts the member's parts. The order is that of a proxy: settings, shared state, list.
+// startMember starts a member's parts in the order of a proxy: settings, shared state, server list.
 func startMember(spec MemberSpec, request *StartMembers, n *network) (*member, error) {
 	if err := readSettings(request.Settings); err != nil {
 		return nil, err
 	}
-	m := &member{spec: spec, link: &link{network: n, zone: spec.Zone}, revision: request.Revision, ended: make(chan struct{})}
+	m := &member{spec: spec, link: &link{network: n, zone: spec.Zone}, revision: request.Revision, done: make(chan struct{})}
 	var err error
-	if m.sharer, err = startSharer(&spec, m.link); err != nil {
+	if m.sharedState, err = startSharedState(&spec, m.link); err != nil {
 		return nil, err
 	}
-	m.watcher = discovery.New(request.Discovery, connectTimeout, answerTimeout, m.execute, m.listed, m.watchFailed)
+	m.watcher = discovery.New(request.Discovery, connectTimeout, answerTimeout, m.execute, m.listReceived, m.watchFailed)
 	m.execute(func() { m.watcher.Watch(m.revision) })
 	return m, nil
 }
 
+// execute runs a call on the member's event loop, unless the member is closed.
 func (m *member) execute(call func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -68,24 +69,26 @@
 	}
 }
 
-func (m *member) listed(list discovery.List) {
+// listReceived handles a list or change of the list.
+func (m *member) listReceived(list discovery.List) {
 	m.revision = max(m.revision, list.Revision)
 	m.lists++
 }
 
+// watchFailed starts the watch again after a random wait, so that members don't reconnect all at once.
 func (m *member) watchFailed(error) {
 	wait := minRewatch + time.Duration(rand.Int63n(int64(maxRewatch-minRewatch)))
 	time.AfterFunc(wait, func() { m.execute(func() { m.watcher.Watch(m.revision) }) })
 }
 
-// list returns the revision of the list, and whether the watch has brought anything yet.
+// list returns the revision of the server list, and whether the watch has received anything yet.
 func (m *member) list() (revision uint64, watching bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.revision, m.lists > 0
 }
 
-// publish hands over what the member holds: the counts of servers, and its own of the two names.
+// publish hands the member's counts to its shared state: those of servers, the common one, and the marked one if it has any.
 func (m *member) publish(servers []sharing.SessionCount) {
 	if m.spec.Mute {
 		return
@@ -93,15 +96,15 @@
 	m.servers.Store(&servers)
 	mark := m.mark.Load()
 	if mark == 0 {
-		m.sharer.Publish(servers)
+		m.sharedState.Publish(servers)
 		return
 	}
 	facts := make([]sharing.SessionCount, len(servers), len(servers)+1)
 	copy(facts, servers)
-	m.sharer.Publish(append(facts, sharing.SessionCount{Kind: aggregation.ByListener, Name: markedName, Sessions: mark}))
+	m.sharedState.Publish(append(facts, sharing.SessionCount{Kind: aggregation.ByListener, Name: markedName, Sessions: mark}))
 }
 
-// publishMark publishes another value of the marked count at once, beside what was published last.
+// publishMark changes the marked count and publishes it at once, with the other counts as published last.
 func (m *member) publishMark(value uint32) {
 	m.mark.Store(value)
 	if servers := m.servers.Load(); servers != nil {
@@ -109,18 +112,19 @@
 	}
 }
 
+// close stops the watch and the shared state. It may be called more than once.
 func (m *member) close() {
 	m.execute(func() {
 		m.closed = true
 		m.watcher.Stop()
 	})
-	m.ends.Do(func() {
-		close(m.ended)
-		m.sharer.Close()
+	m.closeOnce.Do(func() {
+		close(m.done)
+		m.sharedState.Close()
 	})
 }
 
-// readSettings reads settings as a proxy does at its start and at SIGHUP.
+// readSettings parses settings as a proxy does at its start and at SIGHUP, and drops the result.
 func readSettings(settings []byte) error {
 	var (
 		listeners []choice.Listener
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -11,62 +11,64 @@
 	"chalkferry/internal/strict"
 )
 
-// Plan is what a scale run does, as its TOML file has it; docs/scale.md explains each key.
+// Plan configures a scale run. Its keys in the TOML file are explained in docs/scale.md: counts of members, servers and
+// processes, durations, faults and bounds on the result.
 type Plan struct {
-	Name      string
-	Seed      int64
-	Hollow    int   // members without clients and servers
-	Steps     []int // numbers of hollow members to run one after the other, in place of Hollow
-	Real      int   // proxies with all parts; as many again run without shared state, for comparison
+	Name      string // of the report
+	Seed      int64  // of all draws of the run
+	Hollow    int    // number of hollow members: without clients and servers
+	Steps     []int  // numbers of hollow members to run one after the other; replaces Hollow
+	Real      int    // number of real proxies with shared state; as many again run without it, for comparison
 	Regions   int
 	Zones     int
-	Servers   int // in the list
-	Keys      int // counts that each member holds
-	Workers   int // processes that hold the hollow members, 0 for as many as their number needs
-	Ramp      strict.Span
-	Settle    strict.Span // at most, until all sums are right, before the first measurement
-	For       strict.Span // the measurement of processor time and traffic without changes
-	Trials    int         // changes of a count, and of the list
-	Timeout   strict.Span // for a change to be known to all
-	LateBound strict.Span `toml:"late_bound"` // beyond which the generator's tick counts as late
-	Faults    []Fault     `toml:"fault"`      // one after the other, after the measurement without them
-	Mute      []int       // members that are broken on purpose: they never publish anything
+	Servers   int         // number of servers in the list
+	Keys      int         // number of counts that each member publishes
+	Workers   int         // number of processes that hold the hollow members; 0 derives it from the number of members
+	Ramp      strict.Span // time over which the members are started
+	Settle    strict.Span // longest wait until all sums are right, before the first measurement
+	For       strict.Span // length of the measurement of processor time and traffic without changes
+	Trials    int         // number of changes of a count, and of changes of the list
+	Timeout   strict.Span // longest wait for a change to be known to all members
+	LateBound strict.Span `toml:"late_bound"` // delay above which a tick of the generator counts as late
+	Faults    []Fault     `toml:"fault"`      // injected one after the other, after the measurement without faults
+	Mute      []int       // IDs of members that never publish anything, so that a run with wrong sums can be tested
 	Expect    Expect
 }
 
-// Expect is what a run must keep to. A bound of 0 is not judged.
+// Expect holds upper bounds on the measured figures. A bound of 0 is not checked.
 type Expect struct {
-	CPUShare       float64     `toml:"cpu_share"` // of a core, of one member
-	MemoryMB       float64     `toml:"memory_mb"`
-	BytesPerSecond float64     `toml:"bytes_per_second"` // in and out together
-	Known99        strict.Span `toml:"known_99"`         // until 99 in 100 know of a change
+	CPUShare       float64     `toml:"cpu_share"`        // share of a core, for one member
+	MemoryMB       float64     `toml:"memory_mb"`        // MiB, for one member
+	BytesPerSecond float64     `toml:"bytes_per_second"` // in and out together, of one member
+	Known99        strict.Span `toml:"known_99"`         // time until 99 in 100 members know of a change
 	SumError       float64     `toml:"sum_error"`        // share by which a member's sum may be off without faults
 }
 
-// Bounds of a plan.
+// Upper bounds of a plan's values.
 const (
 	maxHollow  = 20000
 	maxReal    = 16
 	maxServers = 100000
 	maxTrials  = 4
-	maxFaults  = 12 // with the trials: the marked count triples at each
+	maxFaults  = 12 // each fault and trial triples the marked count, which has to stay within a uint32
 	maxWorkers = 64
 
-	// Hollow members of a process, and processes at least, unless the plan says how many there are: the slope over
-	// processes needs some.
-	perWorker        = 1000
-	minPerWorker     = 20
-	workersForASlope = 3
+	// Without Workers, the number of processes follows from the number of members: at most membersPerWorker in each, but at
+	// least minWorkersForSlope processes, as the slope over processes needs several, unless that leaves fewer than
+	// minMembersPerWorker members in each.
+	membersPerWorker    = 1000
+	minMembersPerWorker = 20
+	minWorkersForSlope  = 3
 )
 
-// Spans of faults.
+// Durations of faults.
 const (
 	minFaultSpan       = strict.Span(time.Second)
 	defaultFaultSpan   = strict.Span(20 * time.Second)
 	defaultRestartSpan = strict.Span(time.Minute)
 )
 
-// DefaultPlan returns a small run; its expectations are the operators' ceilings for one proxy.
+// DefaultPlan returns a small run. Its expectations are the bounds that operators have for one proxy.
 func DefaultPlan() *Plan {
 	return &Plan{Name: "default", Seed: 1, Hollow: 200, Real: 3, Regions: 3, Zones: 10, Servers: 1000, Keys: 100,
 		Ramp: strict.Span(5 * time.Second), Settle: strict.Span(15 * time.Second), For: strict.Span(20 * time.Second), Trials: 2,
@@ -74,7 +76,8 @@
 		Expect: Expect{CPUShare: 0.014, MemoryMB: 32, BytesPerSecond: 20000, Known99: strict.Span(18 * time.Second), SumError: 0.05}}
 }
 
-// LoadPlan reads a plan from a TOML file, in place of what the default has. What is wrong is a *strict.Error with the line.
+// LoadPlan reads a plan from a TOML file; keys that are missing keep their default. An invalid key or value is a
+// *strict.Error with the line.
 func LoadPlan(file string) (*Plan, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -89,16 +92,17 @@
 	return p, p.Check(f)
 }
 
-// Check holds a plan against what can be run. The file is where its values come from, and gives errors their lines.
+// Check validates the plan's values and sets Steps if it is empty. f is the file that the values come from and gives errors
+// their lines.
 func (p *Plan) Check(f *strict.File) error {
 	if len(p.Steps) == 0 {
 		p.Steps = []int{p.Hollow}
 	}
 	outside := func(n, least, most int) bool { return n < least || n > most }
 	for _, v := range []struct {
-		key  string
-		bad  bool
-		text string
+		key     string
+		invalid bool
+		text    string
 	}{
 		{"hollow", outside(p.Hollow, 2, maxHollow), "must be 2 to 20000"},
 		{"steps", slices.Min(p.Steps) < 2 || slices.Max(p.Steps) > maxHollow, "must be 2 to 20000 each"},
@@ -121,7 +125,7 @@
 		{"expect.known_99", p.Expect.Known99 < 0, "must not be negative"},
 		{"expect.sum_error", p.Expect.SumError < 0, "must not be negative"},
 	} {
-		if v.bad {
+		if v.invalid {
 			return f.Errorf(v.key, "%s", v.text)
 		}
 	}
@@ -131,17 +135,18 @@
 	return p.checkFaults(f)
 }
 
-// zoneOf and regionOf spread members over zones, and zones over regions.
+// zoneOf returns the zone of a member: members are spread evenly over zones.
 func (p *Plan) zoneOf(member int) int { return member % p.Zones }
 
+// regionOf returns the region of a zone: zones are spread evenly over regions.
 func (p *Plan) regionOf(zone int) int { return zone % p.Regions }
 
-// split spreads members over worker processes. Where there are several their sizes differ, from half of the mean to
-// one and a half, so that what a member adds is the slope over the members of a process.
-func (p *Plan) split(members int) []int {
+// splitMembers returns the number of members of each worker process. With several processes the sizes range from half of
+// the mean to one and a half times the mean, so that the cost of a member is the slope over the members of a process.
+func (p *Plan) splitMembers(members int) []int {
 	workers := p.Workers
 	if workers == 0 {
-		workers = max((members+perWorker-1)/perWorker, min(workersForASlope, members/minPerWorker), 1)
+		workers = max((members+membersPerWorker-1)/membersPerWorker, min(minWorkersForSlope, members/minMembersPerWorker), 1)
 	}
 	workers = min(workers, members)
 	sizes, left := make([]int, workers), members
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	childEnd  = 5 * time.Second // for a child process to end once its input is closed
-	maxQuoted = 400             // bytes of its messages that an error quotes
+	childStopTimeout = 5 * time.Second // for a child process to exit after its input is closed; then it is killed
+	maxQuoted        = 400             // bytes at the end of a process's log that an error quotes
 )
 
-// child is a process of this program that answers requests.
+// child is a worker process of this program, which answers requests on its standard input.
 type child struct {
-	name    string
-	folder  string
+	name    string // also of its log file
+	folder  string // of its log file
 	cmd     *exec.Cmd
 	input   io.WriteCloser
 	encoder *json.Encoder
 	decoder *json.Decoder
 }
 
-// startChild starts the program's hidden subcommand; its messages go to a file of its own in the folder.
+// startChild starts the program's hidden subcommand, with its standard error in a log file of its own in the folder.
 func startChild(command []string, folder, name string) (*child, error) {
 	c := &child{name: name, folder: folder}
 	c.cmd = exec.Command(command[0], command[1:]...)
@@ -54,29 +54,29 @@
 	return c, nil
 }
 
-// isolate gives a process a group of its own, so that Ctrl-C at the terminal is the coordinator's alone, and has it
-// end with the coordinator.
+// isolate gives a process a group of its own, so that Ctrl-C at the terminal reaches only the coordinator, and has the kernel
+// kill the process when the coordinator ends.
 func isolate(cmd *exec.Cmd) {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 }
 
-// ask sends a request and waits for its reply. One request is open at a time.
+// ask sends a request and waits for its reply. Only one request at a time may be open.
 func (c *child) ask(request Request) (Reply, error) {
 	var reply Reply
 	if err := c.encoder.Encode(request); err != nil {
-		return reply, c.failed(err)
+		return reply, c.wrapError(err)
 	}
 	if err := c.decoder.Decode(&reply); err != nil {
-		return reply, c.failed(err)
+		return reply, c.wrapError(err)
 	}
 	if reply.Error != "" {
-		return reply, c.failed(errors.New(reply.Error))
+		return reply, c.wrapError(errors.New(reply.Error))
 	}
 	return reply, nil
 }
 
-// failed adds the process's name and the end of its messages to an error, as its folder goes with the run.
-func (c *child) failed(err error) error {
+// wrapError adds the process's name and the end of its log to an error: the log is deleted with the run's folder.
+func (c *child) wrapError(err error) error {
 	text, readErr := os.ReadFile(filepath.Join(c.folder, c.name+".log"))
 	if readErr != nil || len(text) == 0 {
 		return fmt.Errorf("%s: %w", c.name, err)
@@ -84,16 +84,16 @@
 	return fmt.Errorf("%s: %w; it wrote: %s", c.name, err, strings.TrimSpace(string(text[max(0, len(text)-maxQuoted):])))
 }
 
-// stop ends the process: by the end of its input, or by force.
+// stop closes the process's input and waits for the exit; after a timeout it kills the process.
 func (c *child) stop() {
 	c.input.Close()
-	force := time.AfterFunc(childEnd, func() { c.cmd.Process.Kill() })
+	force := time.AfterFunc(childStopTimeout, func() { c.cmd.Process.Kill() })
 	defer force.Stop()
 	io.Copy(io.Discard, c.decoder.Buffered())
 	c.cmd.Wait()
 }
 
-// askAll sends a request to several processes at a time.
+// askAll sends requests to several processes at once and returns their replies in order, and all errors joined.
 func askAll(children []*child, request func(i int) Request) ([]Reply, error) {
 	replies, errs := make([]Reply, len(children)), make([]error, len(children))
 	done := make(chan struct{})
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Options say how a run is done.
+// Options configure how a run is done.
 type Options struct {
-	Program  string    // this program, started again for each child process
-	Worker   []string  // arguments of its hidden subcommand
-	Commit   string    // that the program was built from, "" for what the build has stamped into it
-	Progress io.Writer // a line that is written over, nil for none
+	Program         string    // path of this program, which is started again for each child process
+	WorkerArguments []string  // arguments of the hidden subcommand that calls RunWorker
+	Commit          string    // that the program was built from; "" for the one that the build has stamped into it
+	Progress        io.Writer // gets a status line that overwrites itself; nil for none
 }
 
-// Run runs all steps of a plan. An error tells that nothing could be measured; what was measured and found wrong is
+// Run runs all steps of a plan. It returns an error if a step can't be run or measured; figures that miss the expectations are
 // in the report. A run that is interrupted reports the steps until then.
 func Run(ctx context.Context, p *Plan, o Options) (*Report, error) {
 	machine, err := ThisMachine()
@@ -26,7 +26,7 @@
 		return nil, err
 	}
 	for _, hollow := range p.Steps {
-		if err := p.Fits(hollow, machine); err != nil {
+		if err := p.CheckResources(hollow, machine); err != nil {
 			return nil, err
 		}
 	}
@@ -39,41 +39,42 @@
 		switch {
 		case ctx.Err() != nil:
 			r.Interrupted = true
-			r.finish()
+			r.fitSteps()
 			return r, nil
 		case err != nil:
 			return nil, err
 		}
 	}
-	r.finish()
+	r.fitSteps()
 	return r, nil
 }
 
-// run is one step while it goes on.
-type run struct {
-	plan     *Plan
-	options  Options
-	hollow   int
-	folder   string
-	rng      *rand.Rand
-	mu       sync.Mutex // of the processes' names: an interrupt ends those that are there
-	list     *child
-	workers  []*child
-	sizes    []int
-	first    []int // member of each worker
-	address  string
-	revision uint64
-	marks    map[int]uint32 // what members hold of the marked count
-	marked   uint32         // the sum of it
-	report   *StepReport
+// stepRun is the state of one step while it runs.
+type stepRun struct {
+	plan         *Plan
+	options      Options
+	hollow       int    // number of hollow members
+	folder       string // temporary files and logs, deleted at the end
+	rng          *rand.Rand
+	mu           sync.Mutex // guards list and workers, which interrupt reads
+	list         *child     // holds the stand-in discovery service
+	workers      []*child
+	sizes        []int          // number of members of each worker
+	firstMembers []int          // ID of the first member of each worker
+	listAddress  string         // of the stand-in discovery service
+	revision     uint64         // of the server list
+	marks        map[int]uint32 // what each member publishes of the marked count, by ID
+	marked       uint32         // sum of the marked count
+	report       *StepReport
 
-	aggregators *fleetOfAggregators
-	real        *realProxies // nil without
+	aggregators *aggregatorFleet
+	real        *realProxies // nil if the plan has none
 }
 
+// runStep runs all phases of a step. On an error the report holds what was measured until then.
 func runStep(ctx context.Context, p *Plan, o Options, hollow int) (report *StepReport, err error) {
-	r := &run{plan: p, options: o, hollow: hollow, rng: rand.New(rand.NewSource(p.Seed)), revision: firstRevision, marks: map[int]uint32{},
-		report: &StepReport{Hollow: hollow, Real: p.Real, Estimate: p.Need(hollow)}}
+	r := &stepRun{plan: p, options: o, hollow: hollow, rng: rand.New(rand.NewSource(p.Seed)), revision: firstRevision, marks: map[int]uint32{},
+		report: &StepReport{Hollow: hollow, Real: p.Real, Estimate: p.EstimateResources(hollow)}}
 	if r.folder, err = os.MkdirTemp("", "chalkferry-scale-"); err != nil {
 		return nil, err
 	}
@@ -88,14 +89,14 @@
 		{"starts processes", r.startProcesses},
 		{"starts aggregators", r.startAggregators},
 		{"starts members", r.startMembers},
-		{"starts real proxies", r.startReal},
+		{"starts real proxies", r.startRealProxies},
 		{"settles", r.settle},
-		{"measures without changes", r.measureCalm},
+		{"measures without changes", r.measureWithoutChanges},
 		{"changes counts", r.changeCounts},
 		{"changes the list", r.changeList},
 		{"reads settings", r.applySettings},
 		{"has faults", r.runFaults},
-		{"ends real proxies", r.endReal},
+		{"ends real proxies", r.stopRealProxies},
 		{"looks at its own lateness", r.measureLateness},
 	} {
 		if o.Progress != nil {
@@ -111,12 +112,12 @@
 			return r.report, err
 		}
 	}
-	r.report.judge(p)
+	r.report.checkExpectations(p)
 	return r.report, nil
 }
 
-// interrupt ends all child processes, so that whoever waits for a reply gets an error.
-func (r *run) interrupt() {
+// interrupt kills the child processes, so that each request that waits for a reply fails.
+func (r *stepRun) interrupt() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.workers {
@@ -127,7 +128,8 @@
 	}
 }
 
-func (r *run) stop() {
+// stop ends all processes of the step.
+func (r *stepRun) stop() {
 	done := make(chan struct{})
 	for _, c := range r.workers {
 		go func() { c.stop(); done <- struct{}{} }()
@@ -146,6 +148,7 @@
 	}
 }
 
+// sleep waits for a duration, or returns the context's error.
 func sleep(ctx context.Context, span time.Duration) error {
 	select {
 	case <-time.After(span):
@@ -155,4 +158,5 @@
 	}
 }
 
+// seconds returns a duration in seconds, rounded to milliseconds.
 func seconds(span time.Duration) float64 { return span.Round(time.Millisecond).Seconds() }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -17,6 +17,7 @@
 	"chalkferry/internal/strict"
 )
 
+// writePlan writes a plan file and returns its path.
 func writePlan(t *testing.T, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "plan.toml")
@@ -26,9 +27,9 @@
 	return file
 }
 
-// TestPlanIsStrict: a plan with an unknown key or a value that can't be is refused with its line.
+// TestPlanIsStrict checks that an unknown key or an invalid value is refused with its line.
 func TestPlanIsStrict(t *testing.T) {
-	for text, want := range map[string]string{
+	for text, wantText := range map[string]string{
 		"": "", "hollow = 300\nkeys = 5\n": "", "steps = [10, 20]\n[expect]\nknown_99 = \"9s\"\n": "",
 		"hollows = 3\n":                    "plan.toml:1: unknown key",
 		"seed = 2\nhollow = 1\n":           "plan.toml:2: hollow: must be 2 to 20000",
@@ -54,94 +55,94 @@
 	} {
 		_, err := LoadPlan(writePlan(t, text))
 		var wrong *strict.Error
-		if (err == nil) != (want == "") || err != nil && (!errors.As(err, &wrong) || !strings.Contains(err.Error(), want)) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+		if (err == nil) != (wantText == "") || err != nil && (!errors.As(err, &wrong) || !strings.Contains(err.Error(), wantText)) {
+			t.Errorf("%q: %v, want %q", text, err, wantText)
 		}
 	}
 }
 
-// TestRefusals: what does not fit the machine is refused before anything is started.
+// TestRefusals checks that a run that needs more than the machine has is refused before anything is started.
 func TestRefusals(t *testing.T) {
 	p := DefaultPlan()
 	if err := p.Check(&strict.File{}); err != nil {
 		t.Fatal(err)
 	}
-	need := p.Need(200)
-	roomy := Machine{Memory: need.Memory * memoryPart, Descriptors: uint64(need.Descriptors)}
-	if err := p.Fits(200, roomy); err != nil {
-		t.Errorf("%v, though there is just enough", err)
+	need := p.EstimateResources(200)
+	roomy := Machine{Memory: need.Memory * memoryDivisor, Descriptors: uint64(need.Descriptors)}
+	if err := p.CheckResources(200, roomy); err != nil {
+		t.Errorf("a run that needs just what the machine has is refused: %v", err)
 	}
 	for want, m := range map[error]Machine{
-		ErrMemory:      {Memory: need.Memory*memoryPart - 2, Descriptors: roomy.Descriptors},
+		ErrMemory:      {Memory: need.Memory*memoryDivisor - 2, Descriptors: roomy.Descriptors},
 		ErrDescriptors: {Memory: roomy.Memory, Descriptors: roomy.Descriptors - 1},
 	} {
-		if err := p.Fits(200, m); !errors.Is(err, want) {
+		if err := p.CheckResources(200, m); !errors.Is(err, want) {
 			t.Errorf("%v, want %v", err, want)
 		}
 	}
 	p.Workers, p.Real = maxWorkers, (maxProcesses-maxWorkers)/2
-	if err := p.Fits(200, Machine{Memory: 1 << 50, Descriptors: 1 << 20}); !errors.Is(err, ErrProcesses) {
+	if err := p.CheckResources(200, Machine{Memory: 1 << 50, Descriptors: 1 << 20}); !errors.Is(err, ErrProcesses) {
 		t.Errorf("%v, want %v", err, ErrProcesses)
 	}
 	options := Options{Program: "/nonexistent"}
 	p = DefaultPlan()
 	p.Steps, p.Servers, p.Keys = []int{maxHollow}, maxServers, maxServers
 	if _, err := Run(t.Context(), p, options); !errors.Is(err, ErrMemory) {
-		t.Errorf("%v, want %v before the program is looked for", err, ErrMemory)
+		t.Errorf("%v, want %v before any process is started", err, ErrMemory)
 	}
 }
 
-// TestSplit: all members are spread, over different sizes where there are several processes.
+// TestSplit checks that all members are assigned to processes, and that the sizes differ where there are several processes.
 func TestSplit(t *testing.T) {
 	p := DefaultPlan()
 	for members, workers := range map[int]int{2: 1, 200: 2, 999: 7, 7600: 0, 5: 5, 3: 9} {
 		p.Workers = workers
-		sizes, sum := p.split(members), 0
+		sizes, sum := p.splitMembers(members), 0
 		for _, size := range sizes {
 			sum += size
 			if size < 1 {
-				t.Errorf("%d members: an empty process in %v", members, sizes)
+				t.Errorf("%d members: a process without members in %v", members, sizes)
 			}
 		}
 		if sum != members || workers > 0 && len(sizes) != min(workers, members) {
-			t.Errorf("%d members are spread as %v", members, sizes)
+			t.Errorf("%d members are split into %v", members, sizes)
 		}
 		if members >= 200 && sizes[0] == sizes[len(sizes)-1] {
-			t.Errorf("no range of sizes in %v", sizes)
+			t.Errorf("all processes have the same size: %v", sizes)
 		}
 	}
 }
 
-// TestSpread: quantiles are over all members, also those that never knew.
+// TestSpread checks that quantiles are over all members, including those that never knew of the change.
 func TestSpread(t *testing.T) {
 	at := time.Now().UnixNano()
 	known := make([]int64, 100)
 	for i := range known {
 		known[i] = at + int64(time.Duration(i+1)*time.Second)
 	}
-	if got := newSpread(at, known); got != (Spread{Members: 100, Known: 100, Half: 50, P99: 99, All: 100}) {
+	if got := newPropagationTimes(at, known); got != (PropagationTimes{Members: 100, Known: 100, P50: 50, P99: 99, All: 100}) {
 		t.Errorf("%+v", got)
 	}
 	known[3], known[7] = 0, 0
-	if got := newSpread(at, known); got.Known != 98 || got.P99 != -1 || got.All != -1 || got.Half != 52 {
-		t.Errorf("two never knew: %+v", got)
+	if got := newPropagationTimes(at, known); got.Known != 98 || got.P99 != -1 || got.All != -1 || got.P50 != 52 {
+		t.Errorf("two members never knew: %+v", got)
 	}
 }
 
-// TestLatenessVoids: a step whose generator was late fails, whatever else was measured.
+// TestLatenessVoids checks that a step whose generator was late is void and fails, even if all else is as expected.
 func TestLatenessVoids(t *testing.T) {
 	p := DefaultPlan()
-	for _, c := range []struct {
+	for _, test := range []struct {
 		late int
 		void bool
 	}{{0, false}, {9, false}, {11, true}} {
 		lateness := load.NewLateness(p.LateBound.D())
 		for i := range 1000 {
-			by := time.Millisecond
-			if i < c.late {
-				by = 2 * p.LateBound.D()
+			delay := time.Millisecond
+			if i < test.late {
+				delay = 2 * p.LateBound.D()
 			}
-			lateness.Record(by)
+			lateness.Record(delay)
 		}
 		w := &worker{lateness: lateness}
 		usage, err := w.usage()
@@ -149,27 +150,28 @@
 			t.Fatal(err)
 		}
 		s := goodStep()
-		s.lateness([]*Usage{usage})
-		s.judge(p)
+		s.recordLateness([]*Usage{usage})
+		s.checkExpectations(p)
 		r := &Report{Steps: []*StepReport{s}}
-		if s.Void != c.void || r.OK() == c.void {
-			t.Errorf("%d of 1000 late: void %t, failed %q", c.late, s.Void, s.Failed)
+		if s.Void != test.void || r.OK() == test.void {
+			t.Errorf("%d of 1000 ticks late: void %t, failed %q", test.late, s.Void, s.Failed)
 		}
 	}
 }
 
+// goodStep returns a step that meets all expectations of the default plan.
 func goodStep() *StepReport {
-	all := Spread{Members: 10, Known: 10, Half: 1, P99: 2, All: 3}
-	return &StepReport{Hollow: 10, started: 10, watching: 10, CountChanges: []Spread{all}, ListChanges: []Spread{all},
+	all := PropagationTimes{Members: 10, Known: 10, P50: 1, P99: 2, All: 3}
+	return &StepReport{Hollow: 10, started: 10, watching: 10, CountChanges: []PropagationTimes{all}, ListChanges: []PropagationTimes{all},
 		Member: MemberUsage{CPUShare: 0.001, MemoryBytes: 1 << 20, BytesIn: 100, BytesOut: 100},
 		Faults: []FaultReport{{Fault: Fault{Kind: FaultLossy}, Change: all, Recovery: all}},
-		Sum:    Sums{True: 70, Least: 70, Most: 70}, RealProxy: &RealUsage{With: 1, Without: 1}}
+		Sum:    SumAccuracy{True: 70, Min: 70, Max: 70}, RealProxy: &RealUsage{With: 1, Without: 1}}
 }
 
-// TestJudge: each bound that is passed fails a step.
+// TestJudge checks that a step fails for each bound that is exceeded, with a message that names it.
 func TestJudge(t *testing.T) {
 	p := DefaultPlan()
-	for name, spoil := range map[string]func(*StepReport){
+	for name, modify := range map[string]func(*StepReport){
 		"":                           func(*StepReport) {},
 		"run":                        func(s *StepReport) { s.started = 9 },
 		"watch the list":             func(s *StepReport) { s.watching = 9 },
@@ -177,7 +179,7 @@
 		"of a core":                  func(s *StepReport) { s.Member.CPUShare = 0.0141 },
 		"MB, 32.0":                   func(s *StepReport) { s.Member.MemoryBytes = 33 << 20 },
 		"bytes a second":             func(s *StepReport) { s.Member.BytesIn = 20000 },
-		"sums are":                   func(s *StepReport) { s.Sum.Least = 63 },
+		"sums are":                   func(s *StepReport) { s.Sum.Min = 63 },
 		"known to 9 of 10":           func(s *StepReport) { s.CountChanges[0].Known = 9 },
 		"18s is allowed":             func(s *StepReport) { s.ListChanges[0].P99 = 18.1 },
 		"after -1.0 s":               func(s *StepReport) { s.ListChanges[0].P99 = -1 },
@@ -189,28 +191,28 @@
 		"for its shared state":       func(s *StepReport) { s.RealProxy.MemoryMB = 33 },
 	} {
 		s := goodStep()
-		spoil(s)
-		s.judge(p)
-		said := strings.Join(s.Failed, "; ")
-		if (said == "") != (name == "") || !strings.Contains(said, name) {
-			t.Errorf("%q: failed %q", name, said)
+		modify(s)
+		s.checkExpectations(p)
+		failures := strings.Join(s.Failed, "; ")
+		if (failures == "") != (name == "") || !strings.Contains(failures, name) {
+			t.Errorf("%q: failed %q", name, failures)
 		}
 	}
 }
 
-// TestUnknownRequest: a request that a process does not know is answered with an error, and the process goes on.
+// TestUnknownRequest checks that an unknown request is answered with an error and that the process goes on.
 func TestUnknownRequest(t *testing.T) {
 	var replies strings.Builder
-	if err := Serve(strings.NewReader(`{"Later":{}}{"Measure":{}}`), &replies); err != nil {
+	if err := RunWorker(strings.NewReader(`{"Later":{}}{"Measure":{}}`), &replies); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(replies.String()), "\n")
-	if len(lines) != 2 || !strings.Contains(lines[0], errNoRequest.Error()) || !strings.Contains(lines[1], "Usage") {
+	if len(lines) != 2 || !strings.Contains(lines[0], errUnknownRequest.Error()) || !strings.Contains(lines[1], "Usage") {
 		t.Errorf("%q", lines)
 	}
 }
 
-// TestFit: the steps' figures are fitted, without those that are void.
+// TestFit checks the regression over the steps, and that void steps are left out.
 func TestFit(t *testing.T) {
 	r := &Report{}
 	for _, hollow := range []int{10, 20, 40, 80} {
@@ -221,7 +223,7 @@
 		}
 		r.Steps = append(r.Steps, s)
 	}
-	r.finish()
+	r.fitSteps()
 	if len(r.Fits) == 0 {
 		t.Fatal("no fit")
 	}
@@ -230,15 +232,15 @@
 	}
 }
 
-// stuckSocket hands out packets that were put into it.
-type stuckSocket struct {
+// fakeSocket returns the packets of in to the reader and collects what is written in out.
+type fakeSocket struct {
 	sharing.Socket
 	in  [][]byte
-	mu  sync.Mutex // late datagrams are written by goroutines of their own
+	mu  sync.Mutex // guards out: reordered datagrams are written by timers
 	out [][]byte
 }
 
-func (s *stuckSocket) ReadFromUDPAddrPort(buffer []byte) (int, netip.AddrPort, error) {
+func (s *fakeSocket) ReadFromUDPAddrPort(buffer []byte) (int, netip.AddrPort, error) {
 	if len(s.in) == 0 {
 		return 0, netip.AddrPort{}, net.ErrClosed
 	}
@@ -247,19 +249,20 @@
 	return copy(buffer, next), loopback, nil
 }
 
-func (s *stuckSocket) WriteToUDPAddrPort(datagram []byte, _ netip.AddrPort) (int, error) {
+func (s *fakeSocket) WriteToUDPAddrPort(datagram []byte, _ netip.AddrPort) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.out = append(s.out, datagram)
 	return len(datagram), nil
 }
 
-// passed returns how many datagrams of 100 in each direction come through, and whether all that came in are in order.
-func passed(t *testing.T, impairment *Impairment) (in, out int, inOrder bool) {
+// passDatagrams sends 100 datagrams in each direction through a link. It returns how many arrive, and whether those that come
+// in are in order.
+func passDatagrams(t *testing.T, impairment *Impairment) (in, out int, inOrder bool) {
 	t.Helper()
 	n := &network{}
 	n.impairment.Store(impairment)
-	socket, l := &stuckSocket{}, &link{network: n, zone: 2}
+	socket, l := &fakeSocket{}, &link{network: n, zone: 2}
 	for i := range 100 {
 		socket.in = append(socket.in, []byte{byte(i)})
 	}
@@ -286,9 +289,9 @@
 	return in, len(socket.out), inOrder
 }
 
-// TestLink: a member's socket counts what passes, and loses, doubles, reorders and cuts as it is told.
+// TestLink checks that a member's link counts its traffic, and loses, duplicates, reorders and blocks it by the impairment.
 func TestLink(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		impairment *Impairment
 		in, out    int
 		inOrder    bool
@@ -301,28 +304,29 @@
 		"all are doubled":                        {&Impairment{Doubled: 1}, 200, 200, true},
 		"each second is overtaken, all are late": {&Impairment{Reordered: 1}, 100, 0, false},
 	} {
-		if in, out, inOrder := passed(t, c.impairment); in != c.in || out != c.out || inOrder != c.inOrder {
+		if in, out, inOrder := passDatagrams(t, test.impairment); in != test.in || out != test.out || inOrder != test.inOrder {
 			t.Errorf("%s: %d in, %d out, in order %t", name, in, out, inOrder)
 		}
 	}
-	if in, out, _ := passed(t, &Impairment{Lost: 0.5}); in < 10 || in > 90 || out < 10 || out > 90 {
-		t.Errorf("half are lost: %d in, %d out", in, out)
+	if in, out, _ := passDatagrams(t, &Impairment{Lost: 0.5}); in < 10 || in > 90 || out < 10 || out > 90 {
+		t.Errorf("a loss share of 0.5: %d in, %d out", in, out)
 	}
 }
 
-// TestPlacesOfFaults: a member that is cut off is not asked for a change, and none whose change can't be known makes it.
+// TestPlacesOfFaults checks which zones a fault cuts off, whose members are not asked for a change, and which zones' members
+// can't make a change known, so that none of them is chosen to make it.
 func TestPlacesOfFaults(t *testing.T) {
 	p := DefaultPlan() // zones 0, 3, 6, 9 are in region 0, 1, 4, 7 in 1, 2, 5, 8 in 2
-	for _, c := range []struct {
+	for _, test := range []struct {
 		kind         FaultKind
 		cut, unheard string
 	}{
 		{FaultZoneCut, "[9]", "[9]"}, {FaultZoneCutOut, "[9]", "[9]"}, {FaultRegionCut, "[2 5 8]", "[2 5 8]"},
 		{FaultRegionCutOut, "[]", "[2 5 8]"}, {FaultLossy, "[]", "[]"}, {FaultStartAll, "[]", "[]"},
 	} {
-		fault, ok := p.NamedFault(string(c.kind))
-		if cut, unheard := fmt.Sprint(p.cutZones(fault)), fmt.Sprint(p.unheardZones(fault)); !ok || cut != c.cut || unheard != c.unheard {
-			t.Errorf("%s: cut off %s, not heard %s", c.kind, cut, unheard)
+		fault, ok := p.DefaultFault(string(test.kind))
+		if cut, unheard := fmt.Sprint(p.cutZones(fault)), fmt.Sprint(p.unheardZones(fault)); !ok || cut != test.cut || unheard != test.unheard {
+			t.Errorf("%s: cut off zones %s, unheard zones %s", test.kind, cut, unheard)
 		}
 	}
 }
--- a/internal/scale/sharer.go
+++ b/internal/scale/sharer.go
@@ -10,21 +10,21 @@
 	"chalkferry/internal/sharing"
 )
 
-// loopback is where a hollow member's socket is bound, at any free port.
+// loopback is the address that hollow members bind their sockets to, with any free port.
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// mechanism names what carries the shared counts in a report.
+// mechanism is the name that reports have for what carries the shared counts.
 const mechanism = "aggregators: sums over regions, exchanged, and digests of them"
 
-// sharer is the shared state of one hollow member: the only thing of the mechanism that a worker knows.
-type sharer interface {
+// sharedState is the shared state of one hollow member. Workers use the sharing mechanism only through this interface.
+type sharedState interface {
 	Publish(facts []sharing.SessionCount)
 	Figure(kind aggregation.Kind, name string) (aggregation.Figure, bool)
 	Close()
 }
 
-// startSharer starts a hollow member's shared state on a link.
-func startSharer(spec *MemberSpec, l *link) (sharer, error) {
+// startSharedState starts a hollow member's shared state, with its socket on a link.
+func startSharedState(spec *MemberSpec, l *link) (sharedState, error) {
 	config := sharing.DefaultMemberConfig()
 	config.Name, config.Region, config.Zone = spec.Name, regionName(spec.Region), zoneName(spec.Zone)
 	config.Listen = loopback
@@ -33,7 +33,7 @@
 	return sharing.StartMember(config, zerolog.Nop())
 }
 
-// listenerKey is what a status shows for a name that its proxy has not published itself.
+// listenerKey returns the name under which a status shows a count that its proxy has not published itself.
 func listenerKey(name string) string { return sharing.KeyName(aggregation.ByListener, name) }
 
 func regionName(i int) string { return fmt.Sprintf("region-%d", i) }
--- a/internal/scale/startup.go
+++ b/internal/scale/startup.go
@@ -10,21 +10,23 @@
 	"time"
 )
 
-func (r *run) startAggregators(ctx context.Context) (err error) {
+// startAggregators starts the aggregators and waits until they answer.
+func (r *stepRun) startAggregators(ctx context.Context) (err error) {
 	if r.aggregators, err = prepareAggregators(r.plan, r.options.Program, r.folder); err != nil {
 		return err
 	}
 	return r.aggregators.start(ctx)
 }
 
-// settle waits until the sums of all members are right, or for as long as the plan has it.
-func (r *run) settle(ctx context.Context) (err error) {
+// settle waits until the sums of all members are right, for the plan's limit at most.
+func (r *stepRun) settle(ctx context.Context) (err error) {
 	r.report.Filled, err = r.awaitSums(ctx, r.plan.Settle.D())
 	return err
 }
 
-func (r *run) startProcesses(ctx context.Context) (err error) {
-	command := append([]string{r.options.Program}, r.options.Worker...)
+// startProcesses starts the discovery service and the worker processes, all without members.
+func (r *stepRun) startProcesses(ctx context.Context) (err error) {
+	command := append([]string{r.options.Program}, r.options.WorkerArguments...)
 	list, err := startChild(command, r.folder, "list")
 	if err != nil {
 		return err
@@ -36,8 +38,8 @@
 	if err != nil {
 		return err
 	}
-	r.address = reply.Address
-	r.sizes = r.plan.split(r.hollow)
+	r.listAddress = reply.Address
+	r.sizes = r.plan.splitMembers(r.hollow)
 	next := 0
 	for i, size := range r.sizes {
 		if ctx.Err() != nil {
@@ -50,14 +52,15 @@
 		r.mu.Lock()
 		r.workers = append(r.workers, c)
 		r.mu.Unlock()
-		r.first = append(r.first, next)
+		r.firstMembers = append(r.firstMembers, next)
 		next += size
 	}
 	return nil
 }
 
-func (r *run) startMembers(context.Context) error {
-	base, err := r.measure()
+// startMembers measures the empty worker processes and then starts the hollow members in them.
+func (r *stepRun) startMembers(context.Context) error {
+	base, err := r.measureProcesses()
 	if err != nil {
 		return err
 	}
@@ -68,8 +71,8 @@
 	}
 	began := time.Now()
 	_, err = askAll(r.workers, func(i int) Request {
-		return Request{Start: &StartMembers{Members: specs[r.first[i] : r.first[i]+r.sizes[i]], Keys: r.plan.Keys, Servers: r.plan.Servers,
-			Seed: r.plan.Seed, Ramp: r.plan.Ramp.D(), Discovery: r.address, Revision: r.revision, Settings: settings,
+		return Request{Start: &StartMembers{Members: specs[r.firstMembers[i] : r.firstMembers[i]+r.sizes[i]], Keys: r.plan.Keys, Servers: r.plan.Servers,
+			Seed: r.plan.Seed, Ramp: r.plan.Ramp.D(), Discovery: r.listAddress, Revision: r.revision, Settings: settings,
 			LateBound: r.plan.LateBound.D()}}
 	})
 	if err != nil {
@@ -80,13 +83,13 @@
 	return nil
 }
 
-// memberSpecs places the hollow members.
-func (r *run) memberSpecs() []MemberSpec {
+// memberSpecs spreads the hollow members over zones and regions.
+func (r *stepRun) memberSpecs() []MemberSpec {
 	specs := make([]MemberSpec, r.hollow)
 	for i := range specs {
 		zone := r.plan.zoneOf(i)
 		region := r.plan.regionOf(zone)
-		specs[i] = MemberSpec{ID: i, Name: fmt.Sprintf("hollow-%d", i), Region: region, Zone: zone, Aggregators: r.aggregators.of(region)}
+		specs[i] = MemberSpec{ID: i, Name: fmt.Sprintf("hollow-%d", i), Region: region, Zone: zone, Aggregators: r.aggregators.addressesIn(region)}
 	}
 	for _, id := range r.plan.Mute {
 		specs[id].Mute = true
@@ -94,7 +97,7 @@
 	return specs
 }
 
-// freeAddress finds a port that nothing listens at.
+// freeAddress finds a TCP port that nothing listens on.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -104,7 +107,8 @@
 	return l.Addr().String(), nil
 }
 
-func (r *run) startReal(ctx context.Context) (err error) {
+// startRealProxies starts the plan's real proxies.
+func (r *stepRun) startRealProxies(ctx context.Context) (err error) {
 	if r.plan.Real == 0 {
 		return nil
 	}
@@ -122,11 +126,11 @@
 		}
 		files, statuses = append(files, file), append(statuses, status)
 	}
-	r.real, err = startReal(ctx, r.options.Program, files, statuses, r.plan.Seed)
+	r.real, err = startRealProxies(ctx, r.options.Program, files, statuses, r.plan.Seed)
 	return err
 }
 
-// memberSettings is a proxy's settings text, of the size that real ones have.
+// memberSettings returns the JSON text of a proxy's settings, about as long as in production. Durations are in ms.
 func memberSettings(members, zones int) ([]byte, error) {
 	areas := make([]string, zones)
 	for i := range areas {
--- a/internal/scale/worker.go
+++ b/internal/scale/worker.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	scheduleTick  = 20 * time.Millisecond // of the generator's schedule, whose lateness is measured
-	pollInterval  = 100 * time.Millisecond
-	skippedMember = -1
-	profileCount  = 16   // different sets of servers that members of a process hold sessions of
-	variantCount  = 4    // of each set, published in turn
-	variantChange = 0.01 // share of counts in which two variants differ
+	scheduleTick  = 20 * time.Millisecond  // interval of the generator's schedule, whose lateness is measured
+	pollInterval  = 100 * time.Millisecond // between two checks whether members know of a change
+	skippedMember = -1                     // marks a member that is not waited for, in place of the time at which it knew
+	profileCount  = 16                     // number of sets of servers that members of a process have sessions on
+	variantCount  = 4                      // variants of each set, published in turn
+	variantChange = 0.01                   // probability that a count is doubled in a variant
 )
 
-// errNoRequest is returned for a request without a known field.
-var errNoRequest = errors.New("a request of no known kind")
+// errUnknownRequest is returned for a request without a known field.
+var errUnknownRequest = errors.New("unknown kind of request")
 
-// Serve runs a child process of a scale run: it answers requests until its input ends.
-func Serve(in io.Reader, out io.Writer) error {
+// RunWorker runs a child process of a scale run: it answers requests on in until in ends.
+func RunWorker(in io.Reader, out io.Writer) error {
 	w := &worker{}
 	defer w.close()
 	requests, replies := json.NewDecoder(in), json.NewEncoder(out)
@@ -42,7 +42,7 @@
 		} else if err != nil {
 			return err
 		}
-		reply, err := w.answer(&request)
+		reply, err := w.handle(&request)
 		if err != nil {
 			reply = Reply{Error: err.Error()}
 		}
@@ -52,24 +52,25 @@
 	}
 }
 
-// worker is a child process: it holds hollow members, or the stand-in discovery service.
+// worker is the state of a child process, which holds hollow members or the stand-in discovery service.
 type worker struct {
 	network  network
-	profiles [][][]sharing.SessionCount
-	started  *StartMembers // the request
+	profiles [][][]sharing.SessionCount // counts to publish, by set of servers and variant
+	started  *StartMembers              // the request that started the members, nil before
 
-	mu       sync.Mutex // restarts go on while requests are answered
+	mu       sync.Mutex // guards members, restarts and failed: members restart while requests are answered
 	members  []*member  // in the order of the request
-	restarts int
-	failed   error // of a restart
+	restarts int        // number of members restarted
+	failed   error      // errors of restarts
 
-	list     *listService
+	list     *listService // nil without
 	lateness *load.Lateness
 	running  sync.WaitGroup
-	done     chan struct{}
+	done     chan struct{} // closed at the end of the process
 }
 
-func (w *worker) answer(request *Request) (Reply, error) {
+// handle carries out one request.
+func (w *worker) handle(request *Request) (Reply, error) {
 	switch {
 	case request.Start != nil:
 		return Reply{}, w.start(request.Start)
@@ -89,14 +90,15 @@
 	case request.Sums != nil:
 		return w.sums()
 	case request.Impair != nil:
-		w.impair(request.Impair)
+		w.setImpairment(request.Impair)
 		return Reply{}, nil
 	case request.Restart != nil:
 		return w.restart(request.Restart)
 	}
-	return Reply{}, errNoRequest
+	return Reply{}, errUnknownRequest
 }
 
+// start starts the members, evenly spread over the request's ramp.
 func (w *worker) start(request *StartMembers) error {
 	if w.done != nil {
 		return errors.New("the members are started already")
@@ -104,11 +106,11 @@
 	w.done, w.started = make(chan struct{}), request
 	w.lateness = load.NewLateness(request.LateBound)
 	w.profiles = serverProfiles(request)
-	w.running.Go(w.keepSchedule)
+	w.running.Go(w.trackLateness)
 	began := time.Now()
 	for i, spec := range request.Members {
-		at := request.Ramp * time.Duration(i) / time.Duration(len(request.Members))
-		time.Sleep(time.Until(began.Add(at)))
+		offset := request.Ramp * time.Duration(i) / time.Duration(len(request.Members))
+		time.Sleep(time.Until(began.Add(offset)))
 		m, err := startMember(spec, request, &w.network)
 		if err != nil {
 			return fmt.Errorf("member %d: %w", spec.ID, err)
@@ -116,39 +118,40 @@
 		w.mu.Lock()
 		w.members = append(w.members, m)
 		w.mu.Unlock()
-		w.running.Go(func() { m.publishing(w.profile(i)) })
+		w.running.Go(func() { m.publishLoop(w.profile(i)) })
 	}
 	return nil
 }
 
-// profile returns the variants that the member at a place of the request publishes.
+// profile returns the variants of counts that the member at an index publishes.
 func (w *worker) profile(i int) [][]sharing.SessionCount { return w.profiles[i%len(w.profiles)] }
 
-// current returns the members that run now.
-func (w *worker) current() []*member {
+// currentMembers returns the members that run now.
+func (w *worker) currentMembers() []*member {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.members)
 }
 
-// impair changes the network of all members.
-func (w *worker) impair(impairment *Impairment) {
-	if impairment.isNone() {
+// setImpairment changes the simulated network of all members.
+func (w *worker) setImpairment(impairment *Impairment) {
+	if impairment.isZero() {
 		impairment = nil
 	}
 	w.network.impairment.Store(impairment)
 }
 
+// restart draws the members to restart and the delay of each. The same seed gives the same draws.
 func (w *worker) restart(request *Restart) (Reply, error) {
 	rng := rand.New(rand.NewSource(request.Seed))
-	for i, m := range w.current() {
-		chosen, at := rng.Float64() < request.Share, time.Duration(rng.Float64()*float64(request.Within))
+	for i, m := range w.currentMembers() {
+		chosen, delay := rng.Float64() < request.Share, time.Duration(rng.Float64()*float64(request.Within))
 		if !chosen || m.spec.ID == request.Keep {
 			continue
 		}
 		w.running.Go(func() {
 			select {
-			case <-time.After(at):
+			case <-time.After(delay):
 				w.restartMember(i)
 			case <-w.done:
 			}
@@ -157,46 +160,47 @@
 	return Reply{At: time.Now().UnixNano()}, nil
 }
 
-// restartMember ends a member and starts one of the same name in its place, which knows nothing of what it held.
+// restartMember closes a member and starts another of the same name in its place, without the state of the old one except for
+// its marked count.
 func (w *worker) restartMember(i int) {
-	was := w.current()[i]
-	was.close()
-	is, err := startMember(was.spec, w.started, &w.network)
+	previous := w.currentMembers()[i]
+	previous.close()
+	replacement, err := startMember(previous.spec, w.started, &w.network)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
-		w.failed = errors.Join(w.failed, fmt.Errorf("member %d: %w", was.spec.ID, err))
+		w.failed = errors.Join(w.failed, fmt.Errorf("member %d: %w", previous.spec.ID, err))
 		return
 	}
 	select {
 	case <-w.done:
-		is.close()
+		replacement.close()
 		return
 	default:
 	}
-	is.mark.Store(was.mark.Load())
-	is.link.count(was.link.traffic())
-	w.members[i] = is
+	replacement.mark.Store(previous.mark.Load())
+	replacement.link.add(previous.link.traffic())
+	w.members[i] = replacement
 	w.restarts++
-	w.running.Go(func() { is.publishing(w.profile(i)) })
+	w.running.Go(func() { replacement.publishLoop(w.profile(i)) })
 }
 
-// serverProfiles draws sets of servers that members hold sessions of, each in some variants that differ a little, so
-// that members of a set can share the memory of the generator.
+// serverProfiles draws sets of servers that members have sessions on, each in some variants with slightly different counts.
+// Members share these sets, which saves memory of the generator.
 func serverProfiles(request *StartMembers) [][][]sharing.SessionCount {
 	rng := rand.New(rand.NewSource(request.Seed))
 	names := make([]string, request.Servers)
 	for i := range names {
 		names[i] = serverName(i)
 	}
-	own := max(request.Keys-1, 0) // the last is the common one
+	ownKeys := max(request.Keys-1, 0) // the last key is the common count
 	profiles := make([][][]sharing.SessionCount, profileCount)
 	for p := range profiles {
-		held := rng.Perm(request.Servers)[:own]
+		held := rng.Perm(request.Servers)[:ownKeys]
 		for range variantCount {
 			facts := make([]sharing.SessionCount, 0, request.Keys)
 			for _, server := range held {
-				sessions := uint32(10 + server%50)
+				sessions := uint32(10 + server%50) // 10 to 59, so that the counts differ
 				if rng.Float64() < variantChange {
 					sessions *= 2
 				}
@@ -211,13 +215,13 @@
 
 func serverName(i int) string { return fmt.Sprintf("push-%d", i) }
 
-// publishing publishes a member's counts at an offset of its own within the interval.
-func (m *member) publishing(variants [][]sharing.SessionCount) {
+// publishLoop publishes a member's counts each interval, at a random offset, until the member is closed.
+func (m *member) publishLoop(variants [][]sharing.SessionCount) {
 	first := time.NewTimer(time.Duration(rand.Int63n(int64(publishInterval))))
 	defer first.Stop()
 	select {
 	case <-first.C:
-	case <-m.ended:
+	case <-m.done:
 		return
 	}
 	ticker := time.NewTicker(publishInterval)
@@ -226,15 +230,15 @@
 		m.publish(variants[n%len(variants)])
 		select {
 		case <-ticker.C:
-		case <-m.ended:
+		case <-m.done:
 			return
 		}
 	}
 }
 
-// keepSchedule measures how late this process comes to its own ticks: what members do late for want of a processor
-// must not be reported as the mechanism's delay.
-func (w *worker) keepSchedule() {
+// trackLateness measures how late this process runs its own ticks, so that delays caused by a lack of processor time are not
+// reported as delays of the sharing mechanism.
+func (w *worker) trackLateness() {
 	next := time.Now()
 	for {
 		next = next.Add(scheduleTick)
@@ -244,27 +248,29 @@
 		case <-w.done:
 			return
 		}
-		if behind := time.Since(next); behind > scheduleTick { // each tick that was missed is late
+		if behind := time.Since(next); behind > scheduleTick { // skips the ticks that were missed: one record stands for them
 			next = next.Add(behind.Truncate(scheduleTick))
 		}
 	}
 }
 
+// publishMark changes a member's marked count and replies with the time of the change.
 func (w *worker) publishMark(request *PublishMark) (Reply, error) {
-	for _, m := range w.current() {
+	for _, m := range w.currentMembers() {
 		if m.spec.ID == request.Member {
-			at := time.Now().UnixNano()
+			changedAt := time.Now().UnixNano()
 			m.publishMark(request.Value)
-			return Reply{At: at}, nil
+			return Reply{At: changedAt}, nil
 		}
 	}
 	return Reply{}, fmt.Errorf("no member %d here", request.Member)
 }
 
+// await polls the members until all know of a change, or for the request's timeout.
 func (w *worker) await(request *AwaitChange) Reply {
-	known := make([]int64, len(w.current()))
+	known := make([]int64, len(w.currentMembers()))
 	missing, skipped := len(known), 0
-	for i, m := range w.current() {
+	for i, m := range w.currentMembers() {
 		if slices.Contains(request.SkipZones, m.spec.Zone) {
 			known[i] = skippedMember
 			skipped++
@@ -273,12 +279,12 @@
 	}
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for limit := time.Now().Add(request.Timeout); missing > 0 && time.Now().Before(limit); <-ticker.C {
-		for i, m := range w.current() {
-			if time.Now().After(limit) { // a machine that is too busy takes long to ask all
+	for deadline := time.Now().Add(request.Timeout); missing > 0 && time.Now().Before(deadline); <-ticker.C {
+		for i, m := range w.currentMembers() {
+			if time.Now().After(deadline) { // on a busy machine one round over all members can outlast the timeout
 				break
 			}
-			if known[i] == 0 && m.knows(request) {
+			if known[i] == 0 && m.hasSeen(request) {
 				known[i] = time.Now().UnixNano()
 				missing--
 			}
@@ -288,7 +294,8 @@
 	return Reply{Known: known, Skipped: skipped}
 }
 
-func (m *member) knows(request *AwaitChange) bool {
+// hasSeen reports whether the member knows of a change.
+func (m *member) hasSeen(request *AwaitChange) bool {
 	if request.Revision > 0 {
 		revision, _ := m.list()
 		if revision < request.Revision {
@@ -296,7 +303,7 @@
 		}
 	}
 	for _, bound := range request.Sums {
-		figure, ok := m.sharer.Figure(aggregation.ByListener, bound.Name)
+		figure, ok := m.sharedState.Figure(aggregation.ByListener, bound.Name)
 		if !ok || figure.Value < bound.AtLeast || figure.Value > bound.AtMost {
 			return false
 		}
@@ -304,8 +311,9 @@
 	return true
 }
 
+// apply parses the settings once for each member and replies with the times.
 func (w *worker) apply(request *ApplySettings) (Reply, error) {
-	took := make([]time.Duration, len(w.current()))
+	took := make([]time.Duration, len(w.currentMembers()))
 	for i := range took {
 		began := time.Now()
 		if err := readSettings(request.Settings); err != nil {
@@ -316,10 +324,11 @@
 	return Reply{Took: took}, nil
 }
 
+// sums returns the sum of the common count at each member.
 func (w *worker) sums() (Reply, error) {
 	var sums []aggregation.Figure
-	for _, m := range w.current() {
-		figure, ok := m.sharer.Figure(aggregation.ByListener, commonName)
+	for _, m := range w.currentMembers() {
+		figure, ok := m.sharedState.Figure(aggregation.ByListener, commonName)
 		if !ok {
 			return Reply{}, fmt.Errorf("member %d is closed", m.spec.ID)
 		}
@@ -328,6 +337,7 @@
 	return Reply{Sums: sums}, nil
 }
 
+// usage returns the cumulative usage of this process. It fails if a restart has failed.
 func (w *worker) usage() (*Usage, error) {
 	w.mu.Lock()
 	members, restarts, failed := slices.Clone(w.members), w.restarts, w.failed
@@ -370,11 +380,12 @@
 	return u, nil
 }
 
+// close stops the members and the discovery service and waits for all goroutines.
 func (w *worker) close() {
 	if w.done != nil {
 		close(w.done)
 	}
-	for _, m := range w.current() {
+	for _, m := range w.currentMembers() {
 		m.close()
 	}
 	w.running.Wait()
