--- a/cmd/chalkferry/faults_test.go
+++ b/cmd/chalkferry/faults_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatalf("%v\n%v", err, plan)
 	}
-	for _, err := range controller.Troubles() {
+	for _, err := range controller.Errors() {
 		t.Errorf("the injection itself failed: %v", err)
 	}
 	failures, injected := controller.Failures(), 0
--- a/cmd/chalkferry/rehearse_test.go
+++ b/cmd/chalkferry/rehearse_test.go
@@ -16,7 +16,7 @@
 // TestMain is also the proxy under test, and the aggregators and child processes of a scale run: they are the test's own
 // program. A proxy under faults executes itself once more, behind the filter.
 func TestMain(m *testing.M) {
-	if len(os.Args) > 1 && os.Args[1] == "serve" && faultinject.Wanted() {
+	if len(os.Args) > 1 && os.Args[1] == "serve" && faultinject.Enabled() {
 		fmt.Fprintln(os.Stderr, faultinject.Exec(os.Args[0], os.Args[1:]))
 		os.Exit(1)
 	}
--- a/internal/faultinject/child.go
+++ b/internal/faultinject/child.go
@@ -13,22 +13,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// ControllerVariable is the environment variable that holds the controller's address and the calls to send to it.
+// ControllerVariable is the environment variable that holds the controller's address, followed by the numbers of the system
+// calls to send to it, separated by spaces.
 const ControllerVariable = "CHALKFERRY_FAULT_CONTROLLER"
 
-// Sizes and offsets of struct seccomp_data, see seccomp(2).
+// Offsets in bytes of the fields of struct seccomp_data, see seccomp(2).
 const (
-	offsetOfCall = 0
-	offsetOfArch = 4
+	callOffset = 0
+	archOffset = 4
 )
 
-// auditArchAMD64 is AUDIT_ARCH_X86_64.
+// auditArchAMD64 is AUDIT_ARCH_X86_64 of linux/audit.h. Calls of another architecture are not intercepted.
 const auditArchAMD64 = 0xc000003e
 
-// Wanted reports whether this process was started to run under faults.
-func Wanted() bool { return os.Getenv(ControllerVariable) != "" }
+// Enabled reports whether this process was started to run under fault injection.
+func Enabled() bool { return os.Getenv(ControllerVariable) != "" }
 
-// Exec replaces this process by the program, under the controller's faults. It returns only an error.
+// Exec connects to the controller, installs the filter and replaces this process by the program. It returns only on an error.
 func Exec(program string, arguments []string) error {
 	address, callText, _ := strings.Cut(os.Getenv(ControllerVariable), " ")
 	os.Unsetenv(ControllerVariable)
@@ -40,7 +41,7 @@
 		}
 		calls = append(calls, uintptr(call))
 	}
-	runtime.LockOSThread() // the filter is this thread's, and the program is executed by it
+	runtime.LockOSThread() // the filter applies to the calling thread only, which has to be the one that executes the program
 	connection, err := connectController(address)
 	if err != nil {
 		return err
@@ -49,25 +50,27 @@
 	if err != nil {
 		return err
 	}
-	if err := handOver(connection, listener); err != nil {
+	if err := sendListener(connection, listener); err != nil {
 		return err
 	}
 	return unix.Exec(program, append([]string{program}, arguments...), os.Environ())
 }
 
+// connectController opens a TCP connection to the controller as a plain descriptor, closed on exec.
 func connectController(address string) (fd int, err error) {
-	at, err := netip.ParseAddrPort(address)
+	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return 0, err
 	}
 	if fd, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0); err != nil {
 		return 0, err
 	}
-	return fd, unix.Connect(fd, &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()})
+	return fd, unix.Connect(fd, &unix.SockaddrInet4{Port: int(parsed.Port()), Addr: parsed.Addr().As4()})
 }
 
-// installFilter has the calls sent to a listener, whose descriptor it returns.
+// installFilter installs a filter that sends the calls to a seccomp listener, and returns the listener's descriptor.
 func installFilter(calls []uintptr) (listener uintptr, err error) {
+	// load reads 32 bits of seccomp_data; end ends the filter with an action.
 	load := func(offset uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
 	}
@@ -75,10 +78,10 @@
 		return unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: action}
 	}
 	filter := []unix.SockFilter{
-		load(offsetOfArch),
-		{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jt: 1, K: auditArchAMD64},
+		load(archOffset),
+		{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jt: 1, K: auditArchAMD64}, // skips the next instruction if equal
 		end(unix.SECCOMP_RET_ALLOW),
-		load(offsetOfCall),
+		load(callOffset),
 	}
 	for _, call := range calls {
 		filter = append(filter, unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jf: 1, K: uint32(call)},
@@ -89,7 +92,8 @@
 		return 0, fmt.Errorf("no_new_privs: %w", err)
 	}
 	program := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
-	// Killable waits: a call that the controller has carried out in part must not be begun again after a signal.
+	// WAIT_KILLABLE_RECV: while the controller handles a call, only fatal signals interrupt it. Any other would have the call
+	// begin again, though the controller may have carried out a part of it.
 	fd, _, errno := unix.RawSyscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER,
 		unix.SECCOMP_FILTER_FLAG_NEW_LISTENER|unix.SECCOMP_FILTER_FLAG_WAIT_KILLABLE_RECV, uintptr(unsafe.Pointer(&program)))
 	if errno != 0 {
@@ -98,8 +102,9 @@
 	return fd, nil
 }
 
-// handOver tells the controller the listener's descriptor and waits until it has it, by calls that no plan names.
-func handOver(connection int, listener uintptr) error {
+// sendListener sends the controller this process's ID and the listener's descriptor, and waits until the controller has
+// duplicated the descriptor. It uses sendto and recvmsg, which no plan names: the filter is active already.
+func sendListener(connection int, listener uintptr) error {
 	var message [8]byte
 	binary.LittleEndian.PutUint32(message[:], uint32(os.Getpid()))
 	binary.LittleEndian.PutUint32(message[4:], uint32(listener))
@@ -114,7 +119,7 @@
 		return errno
 	}
 	if n != 1 {
-		return fmt.Errorf("the controller has ended the connection")
+		return fmt.Errorf("the controller closed the connection")
 	}
 	return nil
 }
--- a/internal/faultinject/controller.go
+++ b/internal/faultinject/controller.go
@@ -13,19 +13,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Controller decides the calls of all processes that were started with its Environment.
+// Controller decides the outcome of intercepted calls, for all processes that were started with its Environment.
 type Controller struct {
 	plan     Plan
 	listener net.Listener
 	serving  sync.WaitGroup
 
 	mu        sync.Mutex
-	processes int64
-	failures  map[string]int // by fault
-	troubles  []error
+	processes int64          // number of processes that have connected; seeds the draws of each
+	failures  map[string]int // number of injected failures by the fault's String
+	errs      []error
 }
 
-// New makes a controller, which ends with Close.
+// New starts a controller, which runs until Close.
 func New(plan Plan) (*Controller, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +36,7 @@
 	return c, nil
 }
 
-// Environment is the value of ControllerVariable for the processes.
+// Environment returns the value of ControllerVariable for the processes.
 func (c *Controller) Environment() string {
 	text := c.listener.Addr().String()
 	for _, call := range c.plan.calls() {
@@ -45,13 +45,13 @@
 	return text
 }
 
-// Close waits for the processes to end; it does not end them.
+// Close accepts no more processes and waits for the connected ones to end; it does not end them.
 func (c *Controller) Close() {
 	c.listener.Close()
 	c.serving.Wait()
 }
 
-// Failures are how often each fault of the plan was injected.
+// Failures returns how often each fault of the plan was injected, by the fault's String.
 func (c *Controller) Failures() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,13 +62,14 @@
 	return failures
 }
 
-// Troubles are failures of the controller's own, with which a run is worth nothing.
-func (c *Controller) Troubles() []error {
+// Errors returns the errors of the controller itself. A run with any is not valid.
+func (c *Controller) Errors() []error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.troubles
+	return c.errs
 }
 
+// accept serves each process that connects, until the listener is closed.
 func (c *Controller) accept() {
 	for {
 		conn, err := c.listener.Accept()
@@ -79,7 +80,7 @@
 			defer conn.Close()
 			if err := c.serve(conn); err != nil {
 				c.mu.Lock()
-				c.troubles = append(c.troubles, err)
+				c.errs = append(c.errs, err)
 				c.mu.Unlock()
 			}
 		})
@@ -90,7 +91,7 @@
 func (c *Controller) serve(conn net.Conn) error {
 	var message [8]byte
 	if _, err := io.ReadFull(conn, message[:]); err != nil {
-		return nil // ended before it had a filter
+		return nil // the process ended before it installed its filter
 	}
 	pid := int(binary.LittleEndian.Uint32(message[:]))
 	pidfd, err := unix.PidfdOpen(pid, 0)
@@ -113,13 +114,14 @@
 	return p.run()
 }
 
-func (c *Controller) count(f Fault) {
+// countFailure counts an injected failure.
+func (c *Controller) countFailure(f Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failures[f.String()]++
 }
 
-// notification and response are struct seccomp_notif and struct seccomp_notif_resp.
+// notification is struct seccomp_notif of linux/seccomp.h; call, arch, ip and args are its struct seccomp_data.
 type notification struct {
 	id    uint64
 	pid   uint32
@@ -130,6 +132,7 @@
 	args  [6]uint64
 }
 
+// response is struct seccomp_notif_resp of linux/seccomp.h.
 type response struct {
 	id    uint64
 	value int64
@@ -137,19 +140,22 @@
 	flags uint32
 }
 
+// standardOutput is the descriptor of standard output.
 const standardOutput = 1
 
-const continueCall = 1 // SECCOMP_USER_NOTIF_FLAG_CONTINUE
+// continueCall is SECCOMP_USER_NOTIF_FLAG_CONTINUE: the kernel carries the call out.
+const continueCall = 1
 
-// process is one process under faults.
+// process is one process under fault injection.
 type process struct {
 	controller    *Controller
 	pid           int
-	pidfd         int
-	notifications int
-	progress      *progress
+	pidfd         int       // descriptor that refers to the process
+	notifications int       // duplicate of the process's seccomp listener
+	progress      *progress // of the plan in this process
 }
 
+// run answers the notifications of the process until it ends.
 func (p *process) run() error {
 	poll := []unix.PollFd{{Fd: int32(p.notifications), Events: unix.POLLIN}}
 	for {
@@ -158,7 +164,7 @@
 		} else if err != nil {
 			return err
 		}
-		if poll[0].Revents&unix.POLLIN == 0 { // no process has the filter any more
+		if poll[0].Revents&unix.POLLIN == 0 { // hang-up: no process has the filter any more
 			return nil
 		}
 		var n notification
@@ -170,42 +176,45 @@
 		r := p.decide(&n)
 		if errno := p.ioctl(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)); errno != 0 && errno != unix.ENOENT &&
 			errno != unix.EINPROGRESS {
-			return errno // ENOENT: the process was killed meanwhile
+			return errno // ENOENT and EINPROGRESS are no errors: the process was killed meanwhile, or the call is answered already
 		}
 	}
 }
 
+// ioctl issues a request on the seccomp listener.
 func (p *process) ioctl(request uintptr, argument unsafe.Pointer) unix.Errno {
 	_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(p.notifications), request, uintptr(argument))
 	return errno
 }
 
+// decide returns the outcome of one call. A partial transfer that can't be done has the call continue as a whole.
 func (p *process) decide(n *notification) response {
 	r := response{id: n.id, flags: continueCall}
-	fault, fails := p.progress.next(uintptr(n.call), func(t Target) bool { return p.matches(t, n) })
-	if !fails {
+	fault, shouldFail := p.progress.nextFault(uintptr(n.call), func(t Target) bool { return p.matches(t, n) })
+	if !shouldFail {
 		return r
 	}
 	if fault.Errno != Partial {
-		p.controller.count(fault)
+		p.controller.countFailure(fault)
 		return response{id: n.id, error: -int32(fault.Errno)}
 	}
 	if done := p.transferPart(n); done > 0 {
-		p.controller.count(fault)
+		p.controller.countFailure(fault)
 		return response{id: n.id, value: int64(done)}
 	}
 	return r
 }
 
+// matches reports whether the call's descriptor or path is of a target.
 func (p *process) matches(t Target, n *notification) bool {
 	switch t {
 	case AnyTarget:
 		return true
 	case OpenedConfig:
-		return strings.HasSuffix(p.text(n.args[1]), "config.json")
+		return strings.HasSuffix(p.readString(n.args[1]), "config.json")
 	}
 	fd := n.args[0]
-	if t == Output {
+	if t == StandardOutput {
 		return fd == standardOutput
 	}
 	if n.call == unix.SYS_EPOLL_CTL {
@@ -226,12 +235,12 @@
 	}
 }
 
-// text reads a string of the process's memory.
-func (p *process) text(at uint64) string {
+// readString reads a NUL-terminated string, or the start of one, from the process's memory.
+func (p *process) readString(address uint64) string {
 	var buffer [256]byte
-	for size := len(buffer); size > 0; size /= 2 { // the string may lie at the end of a mapping
+	for size := len(buffer); size > 0; size /= 2 { // a read past the end of the string's mapping fails: retry with fewer bytes
 		n, err := unix.ProcessVMReadv(p.pid, []unix.Iovec{{Base: &buffer[0], Len: uint64(size)}},
-			[]unix.RemoteIovec{{Base: uintptr(at), Len: size}}, 0)
+			[]unix.RemoteIovec{{Base: uintptr(address), Len: size}}, 0)
 		if err == nil && n > 0 {
 			text, _, _ := strings.Cut(string(buffer[:n]), "\x00")
 			return text
@@ -240,12 +249,13 @@
 	return ""
 }
 
-// maxPart is the most bytes of a partial transfer.
-const maxPart = 16
+// maxPartialBytes is the most bytes of a partial transfer.
+const maxPartialBytes = 16
 
-// transferPart carries out a read or write in part, in the process's place. It returns how many bytes, 0 for none.
+// transferPart carries out half of a read or write, at most maxPartialBytes, in place of the process. It returns the number of
+// bytes, 0 if nothing could be transferred.
 func (p *process) transferPart(n *notification) int {
-	size := min(int(n.args[2])/2, maxPart)
+	size := min(int(n.args[2])/2, maxPartialBytes)
 	if size == 0 {
 		return 0
 	}
--- a/internal/faultinject/faultinject_test.go
+++ b/internal/faultinject/faultinject_test.go
@@ -10,12 +10,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// childArgument has this test's program be the process under faults.
+// childArgument makes this test binary run as the process under fault injection.
 const childArgument = "child-under-faults"
 
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == childArgument {
-		if Wanted() {
+		if Enabled() {
 			fmt.Fprintln(os.Stderr, Exec(os.Args[0], os.Args[1:]))
 			os.Exit(1)
 		}
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// child makes calls and prints what became of each.
+// child issues system calls and prints the result of each.
 func child() {
 	for range 4 {
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
@@ -46,12 +46,12 @@
 	fmt.Printf("read %d %q %v\n", n, buffer[:max(n, 0)], err)
 }
 
-// TestSeccompInjection: calls of another process fail, or transfer a part, as the plan says and no more often, all others
-// are carried out, and each injection is counted.
+// TestSeccompInjection checks that calls of another process fail, or transfer a part, as often as the plan says, that all other
+// calls are carried out, and that each injection is counted.
 func TestSeccompInjection(t *testing.T) {
 	sockets := Fault{Call: unix.SYS_SOCKET, Errno: unix.ENFILE, Every: 1, Max: 2}
 	parts := Fault{Call: unix.SYS_WRITE, Target: Socket, Errno: Partial, Every: 1, Max: 1}
-	for name, each := range map[string]struct {
+	for name, test := range map[string]struct {
 		plan Plan
 		want string
 	}{
@@ -62,7 +62,7 @@
 			strings.Repeat("socket <nil>\n", 4) + "write 8 <nil>\nread 8 \"12345678\" <nil>\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			controller, err := New(each.plan)
+			controller, err := New(test.plan)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -70,16 +70,16 @@
 			cmd.Env = append(os.Environ(), ControllerVariable+"="+controller.Environment())
 			out, err := cmd.CombinedOutput()
 			controller.Close()
-			if err != nil || string(out) != each.want {
+			if err != nil || string(out) != test.want {
 				t.Errorf("%v\n%s", err, out)
 			}
-			if troubles := controller.Troubles(); len(troubles) > 0 {
-				t.Error(troubles)
+			if errs := controller.Errors(); len(errs) > 0 {
+				t.Error(errs)
 			}
 			failures := controller.Failures()
-			for _, f := range each.plan.Faults {
+			for _, f := range test.plan.Faults {
 				if got := failures[f.String()]; got != f.Max {
-					t.Errorf("%d times %v", got, f)
+					t.Errorf("%d failures injected, want %d: %v", got, f.Max, f)
 				}
 			}
 		})
--- a/internal/faultinject/plan.go
+++ b/internal/faultinject/plan.go
@@ -14,30 +14,30 @@
 
 // Targets.
 const (
-	AnyTarget    Target = iota
-	Socket              // TCP and UDP sockets
-	EventFD             // eventfds: of event loops
-	NotEventFD          // anything but eventfds
-	OpenedConfig        // for openat: the proxy's configuration
-	Output              // standard output
+	AnyTarget      Target = iota // any descriptor or none
+	Socket                       // TCP and UDP sockets
+	EventFD                      // eventfds, which wake event loops
+	NotEventFD                   // any descriptor but eventfds
+	OpenedConfig                 // openat of a path that ends in config.json, the proxy's configuration
+	StandardOutput               // standard output
 )
 
-// Partial stands in place of an errno: the call transfers only a part of its bytes.
+// Partial takes the place of an errno: the call succeeds but transfers only a part of its bytes.
 const Partial unix.Errno = 0
 
-// Fault makes one system call fail.
+// Fault makes matching calls of one system call fail.
 type Fault struct {
-	Call   uintptr // unix.SYS_*
-	Target Target
-	Errno  unix.Errno    // Partial for a short read or write
-	Every  int           // the mean number of matching calls from one failure to the next
-	Run    int           // how many matching calls in a row then fail, 0 for 1
-	From   time.Duration // since the process's start
-	To     time.Duration // 0 for no end
-	Max    int           // failures in all, 0 for any number
+	Call   uintptr       // unix.SYS_*
+	Target Target        // calls of other targets don't match
+	Errno  unix.Errno    // error of the failing calls; Partial for a short read or write
+	Every  int           // mean number of matching calls from one failure to the next
+	Run    int           // number of matching calls in a row that fail at each failure, 0 for 1
+	From   time.Duration // start of the fault, since the controller met the process
+	To     time.Duration // end of the fault, since the controller met the process; 0 for none
+	Max    int           // most failures in a process, 0 for any number
 }
 
-// String names the fault as a failing test prints it.
+// String returns the fault as failing tests print it; it also identifies the fault in Controller.Failures.
 func (f Fault) String() string {
 	name := callNames[f.Call]
 	if name == "" {
@@ -51,6 +51,7 @@
 		f.To, f.Max)
 }
 
+// callNames are the names of the system calls that plans of this project use.
 var callNames = map[uintptr]string{
 	unix.SYS_ACCEPT4: "accept4", unix.SYS_READ: "read", unix.SYS_WRITE: "write", unix.SYS_EPOLL_CTL: "epoll_ctl",
 	unix.SYS_EPOLL_PWAIT: "epoll_pwait", unix.SYS_EPOLL_WAIT: "epoll_wait", unix.SYS_SOCKET: "socket",
@@ -61,13 +62,14 @@
 	unix.SYS_FSYNC: "fsync", unix.SYS_GETSOCKNAME: "getsockname", unix.SYS_NANOSLEEP: "nanosleep", unix.SYS_MADVISE: "madvise",
 }
 
-// Plan is what fails in each process of a run. The same seed draws the same choices; which call meets which choice depends
-// on the processes' timing.
+// Plan is the list of faults of each process of a run. The same seed gives the same draws; which call gets which draw depends
+// on the timing of the processes.
 type Plan struct {
 	Seed   int64
 	Faults []Fault
 }
 
+// String returns the plan as failing tests print it.
 func (p Plan) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "plan seed %d", p.Seed)
@@ -77,7 +79,7 @@
 	return text.String()
 }
 
-// calls are the system calls that the plan names, each once.
+// calls returns the system calls that the plan names, each once.
 func (p Plan) calls() []uintptr {
 	var calls []uintptr
 	seen := map[uintptr]bool{}
@@ -90,38 +92,41 @@
 	return calls
 }
 
-// progress is how far one process is in its plan.
+// progress is the state of a plan in one process.
 type progress struct {
 	plan   Plan
 	random *rand.Rand
-	start  time.Time
-	states []faultState
+	start  time.Time    // when the controller met the process
+	states []faultState // by index of the fault
 }
 
+// faultState is the state of one fault in one process.
 type faultState struct {
-	running  int // failures in a row still to come
-	failures int
+	remaining int // failures in a row still to come
+	failures  int
 }
 
+// newProgress returns the state of a plan in the process with a number, from 1, that sets its draws.
 func newProgress(plan Plan, process int64) *progress {
 	return &progress{plan: plan, random: rand.New(rand.NewSource(plan.Seed + process)), start: time.Now(),
 		states: make([]faultState, len(plan.Faults))}
 }
 
-// next decides what becomes of one call; matches says whether a fault's target fits it.
-func (p *progress) next(call uintptr, matches func(Target) bool) (fault Fault, fails bool) {
-	since := time.Since(p.start)
+// nextFault returns the fault that fails a call, false for none. matches reports whether a fault's target fits the call. The
+// first fault of the plan that applies is taken.
+func (p *progress) nextFault(call uintptr, matches func(Target) bool) (fault Fault, shouldFail bool) {
+	elapsed := time.Since(p.start)
 	for i, f := range p.plan.Faults {
 		state := &p.states[i]
-		if f.Call != call || since < f.From || f.To > 0 && since > f.To || f.Max > 0 && state.failures >= f.Max ||
+		if f.Call != call || elapsed < f.From || f.To > 0 && elapsed > f.To || f.Max > 0 && state.failures >= f.Max ||
 			!matches(f.Target) {
 			continue
 		}
-		if state.running == 0 && p.random.Intn(max(f.Every, 1)) == 0 {
-			state.running = max(f.Run, 1)
+		if state.remaining == 0 && p.random.Intn(max(f.Every, 1)) == 0 {
+			state.remaining = max(f.Run, 1)
 		}
-		if state.running > 0 {
-			state.running--
+		if state.remaining > 0 {
+			state.remaining--
 			state.failures++
 			return f, true
 		}
