--- a/cmd/chalkferry/store.go
+++ b/cmd/chalkferry/store.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	for _, name := range r.Names() {
+	for _, name := range r.TableNames() {
 		bytes := 0
 		for _, value := range r.Tables[name] {
 			bytes += len(value)
@@ -90,7 +90,7 @@
 		return err
 	}
 	to := json.NewEncoder(os.Stdout)
-	for _, table := range r.Names() {
+	for _, table := range r.TableNames() {
 		for _, key := range slices.Sorted(maps.Keys(r.Tables[table])) {
 			if err := to.Encode(map[string]any{"table": table, "key": key, "value": r.Tables[table][key]}); err != nil {
 				return err
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -10,36 +10,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// Disk is all that a store needs of a folder. Tests have an implementation that fails on demand.
+// Disk is the folder that a store writes to. Tests replace it by one that fails on demand.
 type Disk interface {
 	fs.FS
-	// Create makes a new file; it fails where one of the name exists.
+	// Create makes a new file. It fails if a file of the name exists.
 	Create(name string) (File, error)
-	// SyncFolder makes the names of created files durable.
+	// SyncFolder makes the names of created files durable: they survive a loss of power.
 	SyncFolder() error
 }
 
-// File is a segment while it is written.
+// File is a segment that is open for writing.
 type File interface {
-	Write(text []byte) (int, error)
+	Write(data []byte) (int, error)
 	// Sync returns when all that was written is durable.
 	Sync() error
-	// Truncate cuts the file to a size in bytes; the next write goes on there.
+	// Truncate cuts the file to a size in bytes, from which the next write continues.
 	Truncate(size int64) error
 	Close() error
 }
 
-// ErrLocked says that another process writes to the folder.
+// ErrLocked is returned if another process has the folder open for writing.
 var ErrLocked = errors.New("folder is written by another process")
 
-// Folder is a Disk in the file system, locked for its one writer.
+// Folder is a Disk in the file system. Its lock admits one writer at a time.
 type Folder struct {
 	fs.FS
 	path string
 	lock *os.File
 }
 
-// OpenFolder makes the folder if it does not exist, and takes its lock: ErrLocked where another process has it.
+// OpenFolder opens a folder for writing and creates it if it does not exist. It fails with ErrLocked if another process holds
+// the folder's lock.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
@@ -55,7 +56,7 @@
 	return &Folder{FS: os.DirFS(path), path: path, lock: lock}, nil
 }
 
-// Create makes a new file; it fails where one of the name exists.
+// Create makes a new file. It fails if a file of the name exists.
 func (f *Folder) Create(name string) (File, error) {
 	return os.OpenFile(filepath.Join(f.path, name), os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 }
@@ -70,15 +71,16 @@
 	return d.Sync()
 }
 
-// Repair cuts a torn end off the last segment, or removes a last segment without a batch. The segment as it was is kept
-// beside it under the returned name, "" where nothing was torn. Any other damage is left, and returned.
+// Repair cuts a torn end off the last segment, or removes a last segment without a batch. The segment as it was is kept beside
+// it under the returned name; "" means that there was nothing to repair. Any other damage is left as it is and returned as an
+// error.
 func (f *Folder) Repair() (kept string, err error) {
-	r, err := Recover(f)
-	if err != nil || len(r.Segments) == 0 {
+	recovered, err := Recover(f)
+	if err != nil || len(recovered.Segments) == 0 {
 		return "", err
 	}
-	last := r.Segments[len(r.Segments)-1]
-	if r.Torn == "" && last.Last != 0 {
+	last := recovered.Segments[len(recovered.Segments)-1]
+	if recovered.Torn == "" && last.Last != 0 {
 		return "", nil
 	}
 	name := filepath.Join(f.path, last.Name)
@@ -86,10 +88,10 @@
 	if err := os.Link(name, filepath.Join(f.path, kept)); err != nil {
 		return "", err
 	}
-	if last.Last == 0 { // not one batch: the next writer's first segment has this name
+	if last.Last == 0 { // no whole batch: the name has to be free for the next writer's first segment
 		err = os.Remove(name)
 	} else if err = f.copyPrefix(name, last.GoodBytes); err == nil {
-		err = os.Rename(name+".new", name) // at once: the good part is always under one name or the other
+		err = os.Rename(name+".new", name) // atomic: after a crash the segment is either as it was or cut
 	}
 	if err != nil {
 		return "", err
@@ -97,9 +99,9 @@
 	return kept, f.SyncFolder()
 }
 
-// copyPrefix makes a new file of the first bytes of another.
+// copyPrefix writes the first bytes of a file to a new file beside it, whose name ends in .new, and syncs it.
 func (f *Folder) copyPrefix(name string, good int) error {
-	text, err := os.ReadFile(name)
+	data, err := os.ReadFile(name)
 	if err != nil {
 		return err
 	}
@@ -107,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := to.Write(text[:good]); err != nil {
+	if _, err := to.Write(data[:good]); err != nil {
 		to.Close()
 		return err
 	}
@@ -118,5 +120,5 @@
 	return to.Close()
 }
 
-// Close releases the lock.
+// Close releases the lock. Files that are open stay open.
 func (f *Folder) Close() error { return f.lock.Close() }
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -1,6 +1,6 @@
-// Package store keeps records that must outlast a restart, by table and key, in append-only segments. It decides what of
-// a folder can be trusted after a crash, and acknowledges a batch once it is durable. It has no compaction and no
-// snapshots, and nothing in the proxy uses it yet. docs/store.md has the format and the guarantees.
+// Package store keeps records that must survive a restart, by table and key, in append-only segments. It decides which part of
+// a folder can be trusted after a crash, and acknowledges a batch once it is durable. It has no compaction and no snapshots,
+// and the proxy does not use it yet. docs/store.md describes the format and the guarantees.
 package store
 
 import (
@@ -10,32 +10,33 @@
 	"hash/crc32"
 )
 
-// Seq numbers batches from 1, without gaps over all segments.
+// Seq is the sequence number of a batch: from 1, without gaps across all segments.
 type Seq uint64
 
-// Version is the version of the format that is written. A folder of a later one is refused.
+// Version is the version of the format that is written. A folder of a later version is refused.
 const Version = 1
 
 // Sizes of the format, in bytes.
 const (
 	magic           = "CKFS"
-	headerSize      = 4 + 2 + 2 + 8 + 4 // magic, version, reserved, first sequence, CRC-32C of what is before
-	batchHeaderSize = 4 + 4 + 8         // length of the payload, CRC-32C of sequence and payload, sequence
-	maxBatchBytes   = 1 << 20           // bytes of a payload
+	headerSize      = 4 + 2 + 2 + 8 + 4 // magic, version, reserved, first sequence number, CRC-32C of all before it
+	batchHeaderSize = 4 + 4 + 8         // payload length, CRC-32C of sequence number and payload, sequence number
+	maxBatchBytes   = 1 << 20           // largest payload
 )
 
-// Kinds of an operation.
+// Kinds of operations in a payload.
 const (
 	opPut    = 0
 	opDelete = 1
 )
 
+// castagnoli is the table of CRC-32C, the checksum of headers and batches.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrTooLarge refuses a batch of more than 1 MiB.
+// ErrTooLarge is returned for a batch whose payload is over 1 MiB.
 var ErrTooLarge = errors.New("batch is over 1 MiB")
 
-// Op is one change: a value put under a key of a table, or the key deleted.
+// Op is one change: it puts a value under a key of a table, or deletes the key.
 type Op struct {
 	Table  string
 	Key    string
@@ -43,7 +44,7 @@
 	Delete bool
 }
 
-// appendHeader appends the header of a segment.
+// appendHeader appends the header of a segment whose first batch has a sequence number.
 func appendHeader(dst []byte, first Seq) []byte {
 	begin := len(dst)
 	dst = append(dst, magic...)
@@ -53,7 +54,7 @@
 	return binary.LittleEndian.AppendUint32(dst, crc32.Checksum(dst[begin:], castagnoli))
 }
 
-// readHeader returns the first sequence of a segment.
+// readHeader returns the sequence number of a segment's first batch.
 func readHeader(data []byte) (Seq, error) {
 	switch {
 	case len(data) < headerSize:
@@ -69,10 +70,10 @@
 	return Seq(binary.LittleEndian.Uint64(data[8:])), nil
 }
 
-// ErrNewerVersion says that a folder was written by a later build.
+// ErrNewerVersion is returned for a folder that a later build has written.
 var ErrNewerVersion = errors.New("folder of a later version")
 
-// appendBatch appends a batch behind its header.
+// appendBatch appends a batch: its header and its payload.
 func appendBatch(dst []byte, seq Seq, ops []Op) ([]byte, error) {
 	var payload []byte
 	payload = binary.AppendUvarint(payload, uint64(len(ops)))
@@ -96,16 +97,16 @@
 		return dst, ErrTooLarge
 	}
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(payload)))
-	sum := crc32.Update(0, castagnoli, binary.LittleEndian.AppendUint64(nil, uint64(seq)))
-	dst = binary.LittleEndian.AppendUint32(dst, crc32.Update(sum, castagnoli, payload))
+	checksum := crc32.Update(0, castagnoli, binary.LittleEndian.AppendUint64(nil, uint64(seq)))
+	dst = binary.LittleEndian.AppendUint32(dst, crc32.Update(checksum, castagnoli, payload))
 	dst = binary.LittleEndian.AppendUint64(dst, uint64(seq))
 	return append(dst, payload...), nil
 }
 
-// errTorn says that the data end within a batch, or in one that is damaged.
+// errTorn is returned if the data ends within a batch, or the batch is damaged.
 var errTorn = errors.New("batch is cut off or damaged")
 
-// readBatch reads the batch that the data begin with, and its size. Its values are slices of the data.
+// readBatch decodes the batch at the start of the data. size is its length in bytes. The values of ops share memory with data.
 func readBatch(data []byte) (seq Seq, ops []Op, size int, err error) {
 	if len(data) < batchHeaderSize {
 		return 0, nil, 0, errTorn
@@ -123,7 +124,7 @@
 	return seq, ops, size, err
 }
 
-// readOps reads a payload, all of it.
+// readOps decodes a payload, which must have no bytes left over.
 func readOps(payload []byte) ([]Op, error) {
 	r := opReader{rest: payload}
 	n, ok := r.number()
@@ -144,9 +145,10 @@
 	return ops, nil
 }
 
-// opReader takes values off a payload; ok is false where there is none.
+// opReader decodes the values of a payload one by one. Its methods return ok false if the payload holds no such value next.
 type opReader struct{ rest []byte }
 
+// number decodes an unsigned varint.
 func (r *opReader) number() (v uint64, ok bool) {
 	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
@@ -156,6 +158,7 @@
 	return v, true
 }
 
+// bytes decodes a length and as many bytes, which share memory with the payload.
 func (r *opReader) bytes() (b []byte, ok bool) {
 	n, ok := r.number()
 	if !ok || n > uint64(len(r.rest)) {
@@ -166,6 +169,7 @@
 	return b, true
 }
 
+// op decodes one operation.
 func (r *opReader) op() (op Op, ok bool) {
 	if len(r.rest) == 0 || r.rest[0] > opDelete {
 		return op, false
--- a/internal/store/passing_test.go
+++ b/internal/store/passing_test.go
@@ -8,21 +8,21 @@
 	"testing"
 )
 
-// flakyDisk is a faultyDisk on which each call fails at random, for a moment: with no space, or an error of the device. What
-// a failed write has left behind stays there.
+// flakyDisk is a faultyDisk on which each call fails at random with a temporary error: ENOSPC or EIO. Data that a failed write
+// has left in a file stays there.
 type flakyDisk struct {
 	faultyDisk
 	chance *rand.Rand
 }
 
-// flakyFile is a file on it.
+// flakyFile is a file of a flakyDisk.
 type flakyFile struct {
 	*faultyFile
 	flaky *flakyDisk
 }
 
-// fails draws whether the call at hand fails. It takes the lock itself.
-func (d *flakyDisk) fails() error {
+// drawError draws the result of one call. It takes the lock.
+func (d *flakyDisk) drawError() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch d.chance.Intn(6) {
@@ -36,7 +36,7 @@
 }
 
 func (d *flakyDisk) Create(name string) (File, error) {
-	if err := d.fails(); err != nil {
+	if err := d.drawError(); err != nil {
 		return nil, err
 	}
 	f, err := d.faultyDisk.Create(name)
@@ -46,32 +46,32 @@
 	return &flakyFile{f.(*faultyFile), d}, nil
 }
 
-func (d *flakyDisk) SyncFolder() error { return d.fails() }
+func (d *flakyDisk) SyncFolder() error { return d.drawError() }
 
-func (f *flakyFile) Write(text []byte) (int, error) {
-	if err := f.flaky.fails(); err != nil {
-		n, _ := f.faultyFile.Write(text[:len(text)/2])
+func (f *flakyFile) Write(data []byte) (int, error) {
+	if err := f.flaky.drawError(); err != nil {
+		n, _ := f.faultyFile.Write(data[:len(data)/2])
 		return n, err
 	}
-	return f.faultyFile.Write(text)
+	return f.faultyFile.Write(data)
 }
 
 func (f *flakyFile) Sync() error {
-	if err := f.flaky.fails(); err != nil {
+	if err := f.flaky.drawError(); err != nil {
 		return err
 	}
 	return f.faultyFile.Sync()
 }
 
 func (f *flakyFile) Truncate(size int64) error {
-	if err := f.flaky.fails(); err != nil {
+	if err := f.flaky.drawError(); err != nil {
 		return err
 	}
 	return f.faultyFile.Truncate(size)
 }
 
-// TestPassingFailures: writes and syncs fail for a while. Each batch that was accepted is acknowledged, in order, and there
-// after a loss of power; nothing else is.
+// TestPassingFailures checks writing through temporary errors: each accepted batch is acknowledged, in order, and recovered after
+// a loss of power, and nothing else is.
 func TestPassingFailures(t *testing.T) {
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
@@ -90,18 +90,18 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil || seq != acknowledged+1 {
-					t.Errorf("seed %d: batch %d, %v after %d", seed, seq, err, acknowledged)
+					t.Errorf("seed %d: batch %d with error %v acknowledged after batch %d", seed, seq, err, acknowledged)
 				}
 				acknowledged = seq
 			})
 			if err != nil {
-				t.Fatalf("seed %d: batch %d is refused: %v", seed, n+1, err)
+				t.Fatalf("seed %d: batch %d refused: %v", seed, n+1, err)
 			}
 		}
 		if err := w.Close(); err != nil {
 			t.Errorf("seed %d: Close returns %v", seed, err)
 		}
-		r, err := Recover(disk.after())
+		r, err := Recover(disk.afterPowerLoss())
 		if err != nil || r.Last != batches || r.Torn != "" || acknowledged != batches {
 			t.Fatalf("seed %d: %v, %d acknowledged, recovered %+v", seed, err, acknowledged, r)
 		}
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -9,29 +9,29 @@
 	"strings"
 )
 
-// Segment is what is known of one file of a store.
+// Segment describes one file of a store.
 type Segment struct {
 	Name      string
-	First     Seq
-	Last      Seq // 0 for none
-	GoodBytes int // bytes that hold whole batches, from the start
-	Size      int
+	First     Seq // sequence number of the first batch, as the header states it
+	Last      Seq // sequence number of the last whole batch, 0 for none
+	GoodBytes int // bytes from the start that hold the header and whole batches
+	Size      int // bytes of the file
 }
 
-// Recovered is what a folder holds: always a prefix of what was appended, in order, and nothing else.
+// Recovered holds the content of a folder: always a prefix of the appended batches, in order, and nothing else.
 type Recovered struct {
-	Tables   map[string]map[string][]byte
+	Tables   map[string]map[string][]byte // values by table and key
 	Segments []Segment
-	Last     Seq
-	Torn     string // what of the last segment is no whole batch, "" for nothing
+	Last     Seq    // sequence number of the last batch
+	Torn     string // describes the end of the last segment that is no whole batch, "" if there is none
 }
 
-// Damage is why a folder is not opened: something in its middle is missing or wrong, so that what follows can't be
-// trusted to follow.
+// Damage is the error for a folder that can't be opened: a part in its middle is missing or wrong, so that the order of what
+// follows can't be trusted.
 type Damage struct {
-	Segment   string
-	Offset    int // bytes from its start
-	GoodUntil Seq // up to which all is good
+	Segment   string // name of the file
+	Offset    int    // bytes from the start of the segment
+	GoodUntil Seq    // last batch before the damage
 	Text      string
 }
 
@@ -39,11 +39,11 @@
 	return fmt.Sprintf("%s at byte %d: %s; good up to batch %d", d.Segment, d.Offset, d.Text, d.GoodUntil)
 }
 
-// segmentSuffix ends the names of segments, which begin with their first sequence.
+// segmentSuffix is the end of a segment's name; the start is the sequence number of its first batch.
 const segmentSuffix = ".segment"
 
-// Recover reads all segments of a folder. A last segment that ends within a batch is what a loss of power leaves: its
-// whole batches count, and Torn says what does not. Anything else that is wrong is a *Damage.
+// Recover reads all segments of a folder. A loss of power leaves a last segment that ends within a batch: its whole batches are
+// recovered, and Torn describes the rest. Any other fault is a *Damage.
 func Recover(folder fs.FS) (*Recovered, error) {
 	entries, err := fs.ReadDir(folder, ".")
 	if err != nil {
@@ -55,29 +55,29 @@
 			names = append(names, e.Name())
 		}
 	}
-	slices.Sort(names) // by their first sequence, which they are named for
+	slices.Sort(names) // by sequence number: the names start with it in hexadecimal digits of a fixed number
 	r := &Recovered{Tables: map[string]map[string][]byte{}}
 	for i, name := range names {
-		text, err := fs.ReadFile(folder, name)
+		data, err := fs.ReadFile(folder, name)
 		if err != nil {
 			return nil, err
 		}
-		if err := r.recoverSegment(name, text, i == 0, i == len(names)-1); err != nil {
+		if err := r.recoverSegment(name, data, i == 0, i == len(names)-1); err != nil {
 			return nil, err
 		}
 	}
 	return r, nil
 }
 
-// recoverSegment reads the next segment.
-func (r *Recovered) recoverSegment(name string, text []byte, isFirst, isLast bool) error {
-	damage := func(at int, format string, args ...any) error {
-		return &Damage{name, at, r.Last, fmt.Sprintf(format, args...)}
+// recoverSegment adds the batches of the next segment.
+func (r *Recovered) recoverSegment(name string, data []byte, isFirst, isLast bool) error {
+	damage := func(offset int, format string, args ...any) error {
+		return &Damage{name, offset, r.Last, fmt.Sprintf(format, args...)}
 	}
-	first, err := readHeader(text)
+	first, err := readHeader(data)
 	if err != nil {
-		if isLast && len(text) < headerSize { // it was being made
-			r.Segments = append(r.Segments, Segment{Name: name, Size: len(text)})
+		if isLast && len(data) < headerSize { // the writer was stopped while it wrote the header
+			r.Segments = append(r.Segments, Segment{Name: name, Size: len(data)})
 			r.Torn = fmt.Sprintf("%s: %v", name, err)
 			return nil
 		}
@@ -91,18 +91,18 @@
 	} else if first != r.Last+1 {
 		return damage(0, "it begins with batch %d, batch %d is missing", first, r.Last+1)
 	}
-	s := Segment{Name: name, First: first, GoodBytes: headerSize, Size: len(text)}
-	for s.GoodBytes < len(text) {
-		seq, ops, size, err := readBatch(text[s.GoodBytes:])
+	s := Segment{Name: name, First: first, GoodBytes: headerSize, Size: len(data)}
+	for s.GoodBytes < len(data) {
+		seq, ops, size, err := readBatch(data[s.GoodBytes:])
 		if err != nil {
-			if !isLast || laterBatchFollows(text[s.GoodBytes+1:], r.Last) {
-				return damage(s.GoodBytes, "%v, and others follow", err)
+			if !isLast || laterBatchFollows(data[s.GoodBytes+1:], r.Last) {
+				return damage(s.GoodBytes, "%v, and later batches follow", err)
 			}
-			r.Torn = fmt.Sprintf("%s: %v from byte %d of %d", name, err, s.GoodBytes, len(text))
+			r.Torn = fmt.Sprintf("%s: %v from byte %d of %d", name, err, s.GoodBytes, len(data))
 			break
 		}
 		if seq != r.Last+1 {
-			return damage(s.GoodBytes, "batch %d where %d is due", seq, r.Last+1)
+			return damage(s.GoodBytes, "batch %d instead of batch %d", seq, r.Last+1)
 		}
 		r.apply(ops)
 		r.Last, s.Last = seq, seq
@@ -112,18 +112,18 @@
 	return nil
 }
 
-// laterBatchFollows reports whether a whole batch of a later number occurs anywhere in the data: then what is before it
-// is not a torn end, but damage in the middle.
-func laterBatchFollows(text []byte, last Seq) bool {
-	for at := range text {
-		if seq, _, _, err := readBatch(text[at:]); err == nil && seq > last {
+// laterBatchFollows reports whether the data contains a whole batch with a number above last, at any offset. If so, the invalid
+// bytes before it are damage in the middle and not a torn end.
+func laterBatchFollows(data []byte, last Seq) bool {
+	for offset := range data {
+		if seq, _, _, err := readBatch(data[offset:]); err == nil && seq > last {
 			return true
 		}
 	}
 	return false
 }
 
-// apply applies a batch to the tables.
+// apply applies the changes of a batch to the tables.
 func (r *Recovered) apply(ops []Op) {
 	for _, op := range ops {
 		t := r.Tables[op.Table]
@@ -139,7 +139,7 @@
 	}
 }
 
-// Names are the tables, in order.
-func (r *Recovered) Names() []string {
+// TableNames returns the names of the tables, sorted.
+func (r *Recovered) TableNames() []string {
 	return slices.Sorted(maps.Keys(r.Tables))
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -11,8 +11,8 @@
 	"testing/fstest"
 )
 
-// written is a folder of a few segments, with the state after each batch.
-func written(t *testing.T, seed int64) (fstest.MapFS, []string, []map[string]map[string][]byte) {
+// writeSegments returns a folder of three segments, their names, and the tables after each batch.
+func writeSegments(t *testing.T, seed int64) (fstest.MapFS, []string, []map[string]map[string][]byte) {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
 	folder, names := fstest.MapFS{}, []string{}
@@ -48,8 +48,8 @@
 	return folder, names, states
 }
 
-// same compares tables, of which an empty one is as good as none.
-func same(a, b map[string]map[string][]byte) bool {
+// equalTables compares tables; a table without keys equals a missing one.
+func equalTables(a, b map[string]map[string][]byte) bool {
 	for _, pair := range [][2]map[string]map[string][]byte{{a, b}, {b, a}} {
 		for table, keys := range pair[0] {
 			if len(keys) > 0 && !reflect.DeepEqual(keys, pair[1][table]) {
@@ -60,34 +60,34 @@
 	return true
 }
 
-// Each file cut at every byte, and each byte of it flipped: what is recovered is a prefix of what was appended, or
-// the folder is refused with a reason that names the file.
+// TestCutAndFlipped cuts each file at every byte and flips a bit of each byte. What is recovered must be a prefix of what was
+// appended, or the folder is refused with an error that names the file.
 func TestCutAndFlipped(t *testing.T) {
-	folder, names, states := written(t, 1)
+	folder, names, states := writeSegments(t, 1)
 	whole, err := Recover(folder)
-	if err != nil || whole.Torn != "" || int(whole.Last) != len(states)-1 || !same(whole.Tables, states[whole.Last]) {
+	if err != nil || whole.Torn != "" || int(whole.Last) != len(states)-1 || !equalTables(whole.Tables, states[whole.Last]) {
 		t.Fatal(err, whole)
 	}
 	refused, torn := 0, 0
-	try := func(what, name string, text []byte, isLast bool) {
+	try := func(description, name string, text []byte, isLast bool) {
 		damaged := fstest.MapFS{}
 		for n, f := range folder {
 			damaged[n] = f
 		}
 		damaged[name] = &fstest.MapFile{Data: text}
 		r, err := Recover(damaged)
-		var wrong *Damage
+		var damage *Damage
 		switch {
-		case errors.As(err, &wrong):
-			if refused++; wrong.Segment == "" || int(wrong.GoodUntil) >= len(states) {
-				t.Fatalf("%s: %v", what, err)
+		case errors.As(err, &damage):
+			if refused++; damage.Segment == "" || int(damage.GoodUntil) >= len(states) {
+				t.Fatalf("%s: %v", description, err)
 			}
 		case err != nil:
-			t.Fatalf("%s: %v", what, err)
+			t.Fatalf("%s: %v", description, err)
 		case !isLast && r.Last != whole.Last:
-			t.Fatalf("%s: a prefix of %d was taken though segments follow", what, r.Last)
-		case !same(r.Tables, states[r.Last]):
-			t.Fatalf("%s: %d batches, and what was never so: %v", what, r.Last, r.Tables)
+			t.Fatalf("%s: recovered up to batch %d though segments follow", description, r.Last)
+		case !equalTables(r.Tables, states[r.Last]):
+			t.Fatalf("%s: %d batches recovered, with tables that never existed: %v", description, r.Last, r.Tables)
 		case r.Torn != "":
 			torn++
 		}
@@ -102,16 +102,17 @@
 		}
 	}
 	if refused == 0 || torn == 0 {
-		t.Fatalf("%d refused, %d torn", refused, torn)
+		t.Fatalf("%d folders refused, %d recovered with a torn end, want some of each", refused, torn)
 	}
 	delete(folder, names[1])
-	var wrong *Damage
-	if _, err := Recover(folder); !errors.As(err, &wrong) {
-		t.Fatalf("a lost segment in the middle: %v", err)
+	var damage *Damage
+	if _, err := Recover(folder); !errors.As(err, &damage) {
+		t.Fatalf("segment in the middle missing: %v", err)
 	}
 }
 
-// A folder of a later version is refused as such.
+// TestLater checks that a folder of a later version is refused with ErrNewerVersion, and a batch that is too large with
+// ErrTooLarge.
 func TestLater(t *testing.T) {
 	text := appendHeader(nil, 1)
 	text[4] = Version + 1
@@ -124,6 +125,8 @@
 	}
 }
 
+// FuzzReadBatch checks that a batch that can be read is written and read again without a change, and that arbitrary data does
+// not crash the reader.
 func FuzzReadBatch(f *testing.F) {
 	good, _ := appendBatch(nil, 7, []Op{{Table: "t", Key: "k", Value: []byte("v")}, {Table: "t", Key: "x", Delete: true}})
 	f.Add(good)
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -10,51 +10,52 @@
 	"chalkferry/internal/failure"
 )
 
-// closePatience is how long Close goes on trying while the disk fails for a moment.
-const closePatience = 5 * time.Second
+// closeTimeout is how long Close retries while the disk has temporary errors.
+const closeTimeout = 5 * time.Second
 
-// Writer appends batches. Pending batches share one sync (group commit): each is acknowledged after the sync that made it
-// durable, in the order in which they were appended. While the disk fails for a moment they stay pending, and are written
-// again. It never blocks its caller.
+// Writer appends batches. Pending batches share one sync (group commit). Each is acknowledged after the sync that made it
+// durable, in the order of the appends. On a temporary error of the disk they stay pending and are written again. Append never
+// blocks its caller.
 type Writer struct {
 	disk            Disk
-	maxPending      int // batches
-	maxSegmentBytes int // bytes after which the next commit begins another segment
+	maxPending      int // largest number of batches that wait
+	maxSegmentBytes int // size after which the next commit starts another segment
 	mu              sync.Mutex
 	pending         []pendingBatch
-	shed            int
-	failed          error
+	shed            int   // batches refused with ErrFull
+	failed          error // lasting error, after which nothing is written
 	closed          bool
-	wake            chan struct{}
-	ended           chan struct{}
-	context         context.Context // done once the disk is not waited for any more
-	giveUp          context.CancelFunc
+	wake            chan struct{}      // signals the committing goroutine; closed by Close
+	stopped         chan struct{}      // closed when the committing goroutine has ended
+	retryContext    context.Context    // ends the retries of a temporary error
+	cancelRetries   context.CancelFunc // cancels retryContext
 
-	// Used by the committing goroutine only.
-	file     File
-	isListed bool // the file's name is durable
-	isDirty  bool // a write was begun and is not durable: part of it may be there
-	size     int  // bytes of the file that are durable
-	last     Seq
+	// Fields that only the committing goroutine uses.
+	file          File
+	isNameDurable bool // the file's name is durable
+	isDirty       bool // a write was started and is not known to be durable: the file may hold a part of it
+	size          int  // bytes of the file that are durable
+	last          Seq  // sequence number of the last batch
 }
 
+// pendingBatch is a batch that waits for its commit.
 type pendingBatch struct {
 	ops  []Op
 	done func(Seq, error)
 }
 
 var (
-	// ErrFull refuses a batch when too many are pending.
-	ErrFull = errors.New("too many batches wait")
-	// ErrClosed refuses a batch after Close.
+	// ErrFull is returned by Append if too many batches are pending.
+	ErrFull = errors.New("too many batches are pending")
+	// ErrClosed is returned by Append after Close.
 	ErrClosed = errors.New("store is closed")
 )
 
-// NewWriter continues after what was recovered, in a new segment: a torn end is never overwritten. At most maxPending
-// batches wait; a segment that has reached maxSegmentBytes is followed by another.
+// NewWriter returns a writer that continues after the recovered batches, in a new segment: it never overwrites a torn end. At
+// most maxPending batches wait. A segment that has reached maxSegmentBytes is followed by another.
 func NewWriter(disk Disk, r *Recovered, maxPending, maxSegmentBytes int) (*Writer, error) {
-	w := &Writer{disk: disk, maxPending: maxPending, maxSegmentBytes: maxSegmentBytes, last: r.Last, wake: make(chan struct{}, 1), ended: make(chan struct{})}
-	w.context, w.giveUp = context.WithCancel(context.Background())
+	w := &Writer{disk: disk, maxPending: maxPending, maxSegmentBytes: maxSegmentBytes, last: r.Last, wake: make(chan struct{}, 1), stopped: make(chan struct{})}
+	w.retryContext, w.cancelRetries = context.WithCancel(context.Background())
 	if r.Torn != "" {
 		return nil, fmt.Errorf("the end is torn, repair it first: %s", r.Torn)
 	}
@@ -65,8 +66,8 @@
 	return w, nil
 }
 
-// Append queues a batch. done is called from another goroutine once the batch is durable, or with the reason why it may
-// not be; it must not block. A batch beyond the limit of pending ones is refused at once with ErrFull, and counted.
+// Append queues a batch. done is called from another goroutine: with the sequence number once the batch is durable, or with an
+// error if it may not be. done must not block. If maxPending batches are pending, the batch is refused with ErrFull and counted.
 func (w *Writer) Append(ops []Op, done func(Seq, error)) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,15 +88,15 @@
 	return nil
 }
 
-// Shed is how many batches were refused because too many were pending.
-func (w *Writer) Shed() int {
+// ShedCount returns how many batches were refused because too many were pending.
+func (w *Writer) ShedCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.shed
 }
 
-// Close commits the pending batches and ends the writer. While the disk fails for a moment it tries for up to 5 s; what is
-// pending then is reported as failed.
+// Close commits the pending batches and stops the writer. While the disk has temporary errors it retries for up to 5 s; batches
+// that are still pending then are reported as failed.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	if !w.closed {
@@ -103,17 +104,18 @@
 		close(w.wake)
 	}
 	w.mu.Unlock()
-	limit := time.AfterFunc(closePatience, w.giveUp)
-	defer limit.Stop()
-	<-w.ended
-	w.giveUp()
+	retryTimer := time.AfterFunc(closeTimeout, w.cancelRetries)
+	defer retryTimer.Stop()
+	<-w.stopped
+	w.cancelRetries()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.failed
 }
 
+// run commits pending batches whenever it is woken, and once more after Close.
 func (w *Writer) run() {
-	defer close(w.ended)
+	defer close(w.stopped)
 	for range w.wake {
 		w.commit()
 	}
@@ -123,8 +125,9 @@
 	}
 }
 
-// commit writes all pending batches and syncs once. What fails for a moment is written again from what is durable on: a sync
-// that succeeds later does not bring back what a failed one has lost. After any other failure nothing is written any more.
+// commit writes all pending batches and syncs once. After a temporary error all data behind the durable part is written again,
+// because a later sync that succeeds does not restore what a failed one has lost. After any other error nothing is written any
+// more.
 func (w *Writer) commit() {
 	w.mu.Lock()
 	batches, failed := w.pending, w.failed
@@ -144,7 +147,7 @@
 		rejections = append(rejections, err)
 	}
 	if failed == nil && w.last >= first {
-		failed = failure.Retry(w.context, failure.WriteFile, nil, func() error { return w.write(first, data) })
+		failed = failure.Retry(w.retryContext, failure.WriteFile, nil, func() error { return w.write(first, data) })
 		if failed != nil {
 			w.mu.Lock()
 			w.failed = failed
@@ -165,7 +168,7 @@
 	}
 }
 
-// write makes data durable behind what is. It may be called again with the same data after a failure.
+// write appends data to the current segment and makes it durable. After an error it may be called again with the same data.
 func (w *Writer) write(first Seq, data []byte) error {
 	if err := w.openSegment(first); err != nil {
 		return err
@@ -190,10 +193,10 @@
 	return nil
 }
 
-// openSegment opens the segment that the next batches go to, and makes its name durable.
+// openSegment opens the segment for the next batches, if there is none or the current one is full, and makes its name durable.
 func (w *Writer) openSegment(first Seq) error {
 	if w.file != nil && !w.isDirty && w.size >= w.maxSegmentBytes {
-		w.file.Close() // all that it holds is durable, whatever this returns
+		w.file.Close() // an error is of no interest: all data is durable already
 		w.file = nil
 	}
 	if w.file == nil {
@@ -201,13 +204,13 @@
 		if err != nil {
 			return err
 		}
-		w.file, w.isListed, w.isDirty, w.size = file, false, false, 0
+		w.file, w.isNameDurable, w.isDirty, w.size = file, false, false, 0
 	}
-	if !w.isListed {
+	if !w.isNameDurable {
 		if err := w.disk.SyncFolder(); err != nil {
 			return err
 		}
-		w.isListed = true
+		w.isNameDurable = true
 	}
 	return nil
 }
--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -11,23 +11,23 @@
 	"testing/fstest"
 )
 
-// faultyDisk is a disk in memory: it fails on demand, and a loss of power leaves what was synced and any part of
-// the rest.
+// faultyDisk is a disk in memory. It fails on demand, and a loss of power leaves what was synced and any part of the rest.
 type faultyDisk struct {
 	mu     sync.Mutex
 	files  map[string]*faultyFile
 	rng    *rand.Rand
-	writes int // until one is short and fails
-	syncs  int // until one fails
+	writes int // countdown to a write that is cut short and fails; never if it starts at 0
+	syncs  int // countdown to a sync that fails; never if it starts at 0
 }
 
+// faultyFile is a file of a faultyDisk.
 type faultyFile struct {
 	disk   *faultyDisk
-	text   []byte
+	data   []byte
 	synced int
 }
 
-var errDisk = errors.New("the disk fails")
+var errDisk = errors.New("disk error on demand")
 
 func (d *faultyDisk) Open(string) (fs.File, error) { return nil, fs.ErrNotExist }
 func (d *faultyDisk) SyncFolder() error            { return nil }
@@ -40,16 +40,16 @@
 	return f, nil
 }
 
-func (f *faultyFile) Write(text []byte) (int, error) {
+func (f *faultyFile) Write(data []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
 	if f.disk.writes--; f.disk.writes == 0 {
-		n := f.disk.rng.Intn(len(text))
-		f.text = append(f.text, text[:n]...)
+		n := f.disk.rng.Intn(len(data))
+		f.data = append(f.data, data[:n]...)
 		return n, errDisk
 	}
-	f.text = append(f.text, text...)
-	return len(text), nil
+	f.data = append(f.data, data...)
+	return len(data), nil
 }
 
 func (f *faultyFile) Sync() error {
@@ -58,33 +58,33 @@
 	if f.disk.syncs--; f.disk.syncs == 0 {
 		return errDisk
 	}
-	f.synced = len(f.text)
+	f.synced = len(f.data)
 	return nil
 }
 
 func (f *faultyFile) Truncate(size int64) error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	f.text = f.text[:size]
-	f.synced = min(f.synced, len(f.text))
+	f.data = f.data[:size]
+	f.synced = min(f.synced, len(f.data))
 	return nil
 }
 
 func (f *faultyFile) Close() error { return nil }
 
-// after is what the folder holds after a loss of power.
-func (d *faultyDisk) after() fstest.MapFS {
+// afterPowerLoss returns the content of the folder after a loss of power.
+func (d *faultyDisk) afterPowerLoss() fstest.MapFS {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	folder := fstest.MapFS{}
 	for name, f := range d.files {
-		folder[name] = &fstest.MapFile{Data: f.text[:f.synced+d.rng.Intn(len(f.text)-f.synced+1)]}
+		folder[name] = &fstest.MapFile{Data: f.data[:f.synced+d.rng.Intn(len(f.data)-f.synced+1)]}
 	}
 	return folder
 }
 
-// Whatever fails and whenever power is lost: all that was acknowledged is there after it, in order, and nothing that
-// was never appended; after a failure nothing is acknowledged any more.
+// TestAcknowledged checks that, whichever write or sync fails and whenever power is lost, all acknowledged batches are recovered
+// in order, together with none that was never appended, and that nothing is acknowledged after a failure.
 func TestAcknowledged(t *testing.T) {
 	for seed := range int64(300) {
 		rng := rand.New(rand.NewSource(seed))
@@ -104,7 +104,7 @@
 				case err != nil:
 					failed = true
 				case failed || seq != acknowledged+1:
-					t.Errorf("seed %d: batch %d is acknowledged after %d, failed %v", seed, seq, acknowledged, failed)
+					t.Errorf("seed %d: batch %d acknowledged after batch %d, failed %v", seed, seq, acknowledged, failed)
 				default:
 					acknowledged = seq
 				}
@@ -115,9 +115,9 @@
 			appended++
 		}
 		w.Close()
-		r, err := Recover(disk.after())
+		r, err := Recover(disk.afterPowerLoss())
 		if err != nil || r.Last < acknowledged || int(r.Last) > appended {
-			t.Fatalf("seed %d: %v, %d acknowledged, %d there, %d appended", seed, err, acknowledged, r.Last, appended)
+			t.Fatalf("seed %d: %v, %d acknowledged, %d recovered, %d appended", seed, err, acknowledged, r.Last, appended)
 		}
 		for n := range int(r.Last) {
 			if value := r.Tables["t"][fmt.Sprint(n)]; len(value) != 1 || value[0] != byte(n) {
@@ -130,7 +130,8 @@
 	}
 }
 
-// On a real folder: what is written is there for the next writer, which goes on behind it; two at once are refused.
+// TestFolder checks on a real folder that a writer continues after the batches of the one before, and that two writers at once
+// are refused.
 func TestFolder(t *testing.T) {
 	path := t.TempDir()
 	for run := range 3 {
@@ -139,7 +140,7 @@
 			t.Fatal(err)
 		}
 		if _, err := OpenFolder(path); !errors.Is(err, ErrLocked) {
-			t.Fatalf("a second writer: %v", err)
+			t.Fatalf("second writer: %v", err)
 		}
 		r, err := Recover(folder)
 		if err != nil || int(r.Last) != 10*run {
@@ -168,7 +169,7 @@
 	}
 }
 
-// What can't wait is shed at once and counted.
+// TestShed checks that a batch beyond the limit of pending ones is refused at once and counted.
 func TestShed(t *testing.T) {
 	hold, began := make(chan struct{}), make(chan struct{})
 	disk := &faultyDisk{files: map[string]*faultyFile{}, rng: rand.New(rand.NewSource(1))}
@@ -184,8 +185,8 @@
 			t.Fatal(err)
 		}
 	}
-	if err := w.Append(nil, done); !errors.Is(err, ErrFull) || w.Shed() != 1 {
-		t.Fatalf("a third batch: %v, %d are shed", err, w.Shed())
+	if err := w.Append(nil, done); !errors.Is(err, ErrFull) || w.ShedCount() != 1 {
+		t.Fatalf("third batch: %v, %d shed", err, w.ShedCount())
 	}
 	close(hold)
 	if err := w.Close(); err != nil {
@@ -193,18 +194,19 @@
 	}
 }
 
-// A torn end is cut off on demand only, kept beside, and the store can be written again.
+// TestRepair checks that a torn end is cut off only by Repair, that the segment as it was is kept, and that the store can be
+// written afterwards.
 func TestRepair(t *testing.T) {
-	folder, names, states := written(t, 2)
+	folder, names, states := writeSegments(t, 2)
 	whole := folder[names[2]].Data
 	for _, cut := range []int{0, headerSize - 1, headerSize, headerSize + 5, len(whole) - 1} {
 		path := t.TempDir()
 		for _, name := range names {
-			text := folder[name].Data
+			data := folder[name].Data
 			if name == names[2] {
-				text = text[:cut]
+				data = data[:cut]
 			}
-			if err := os.WriteFile(path+"/"+name, text, 0o600); err != nil {
+			if err := os.WriteFile(path+"/"+name, data, 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -220,11 +222,11 @@
 		if err != nil || kept == "" {
 			t.Fatalf("cut at %d: %v, kept %q", cut, err, kept)
 		}
-		if text, err := os.ReadFile(path + "/" + kept); err != nil || len(text) != cut {
-			t.Errorf("cut at %d: %v, %d bytes are kept", cut, err, len(text))
+		if data, err := os.ReadFile(path + "/" + kept); err != nil || len(data) != cut {
+			t.Errorf("cut at %d: %v, %d bytes kept", cut, err, len(data))
 		}
 		after, err := Recover(disk)
-		if err != nil || after.Torn != "" || after.Last != before.Last || !same(after.Tables, states[after.Last]) {
+		if err != nil || after.Torn != "" || after.Last != before.Last || !equalTables(after.Tables, states[after.Last]) {
 			t.Fatalf("cut at %d: %v, %+v", cut, err, after)
 		}
 		if again, err := disk.Repair(); err != nil || again != "" {
