--- a/internal/faultinject/controller.go
+++ b/internal/faultinject/controller.go
@@ -252,8 +252,8 @@
 // maxPartialBytes is the most bytes of a partial transfer.
 const maxPartialBytes = 16
 
-// transferPart carries out half of a read or write, at most maxPartialBytes, in place of the process. It returns the number of
-// bytes, 0 if nothing could be transferred.
+// transferPart carries out half of a read or write, at most maxPartialBytes, in place of the process. It returns the
+// number of bytes, 0 if nothing could be transferred.
 func (p *process) transferPart(n *notification) int {
 	size := min(int(n.args[2])/2, maxPartialBytes)
 	if size == 0 {
--- a/internal/faultinject/faultinject_test.go
+++ b/internal/faultinject/faultinject_test.go
@@ -46,8 +46,8 @@
 	fmt.Printf("read %d %q %v\n", n, buffer[:max(n, 0)], err)
 }
 
-// TestSeccompInjection checks that calls of another process fail, or transfer a part, as often as the plan says, that all other
-// calls are carried out, and that each injection is counted.
+// TestSeccompInjection checks that calls of another process fail, or transfer a part, as often as the plan says, that all
+// other calls are carried out, and that each injection is counted.
 func TestSeccompInjection(t *testing.T) {
 	sockets := Fault{Call: unix.SYS_SOCKET, Errno: unix.ENFILE, Every: 1, Max: 2}
 	parts := Fault{Call: unix.SYS_WRITE, Target: Socket, Errno: Partial, Every: 1, Max: 1}
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -45,9 +45,9 @@
 	return newPropagationTimes(changedAt, known), real, skipped, nil
 }
 
-// Changes of the marked count. Each multiplies the sum by markGrowthFactor, far above the share of change that aggregators
-// send at once. A change counts as known from knownGrowthShare of the growth on, not from all of it: up to half of the members
-// that held some of the count before may be restarting.
+// Changes of the marked count. Each multiplies the sum by markGrowthFactor, far above the share of change that
+// aggregators send at once. A change counts as known from knownGrowthShare of the growth on, not from all of it: up to
+// half of the members that held some of the count before may be restarting.
 const (
 	initialMark      = 10  // sessions that the first change adds
 	markGrowthFactor = 3   // ratio of the sum after a change to the sum before
--- a/internal/scale/faultrun.go
+++ b/internal/scale/faultrun.go
@@ -21,9 +21,10 @@
 }
 
 // sumTolerance is the share by which a member's sum may be off to count as right. It is above 0 because aggregators send
-// small changes on with a delay, in turn.
+// small changes in turn, so that a sum lags behind them.
 const sumTolerance = 0.01
 
+// runFaults injects the plan's faults one after the other.
 func (r *stepRun) runFaults(ctx context.Context) error {
 	for _, fault := range r.plan.Faults {
 		report, err := r.runFault(ctx, fault)
--- a/internal/scale/listservice.go
+++ b/internal/scale/listservice.go
@@ -23,7 +23,7 @@
 
 	mu      sync.Mutex
 	servers []discovery.Server
-	deltas  [][]byte      // encoded changes: revision n is at n - firstChange
+	deltas  [][]byte      // encoded changes: revision n is at index n - firstChangeRevision
 	changed chan struct{} // closed and replaced at each change
 }
 
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -241,8 +241,8 @@
 	})
 }
 
-// value returns the sum of a count by listener, 0 if the proxy has none. The status shows a count under its key, not its name,
-// if the proxy has not published that count itself.
+// value returns the sum of a count by listener, 0 if the proxy has none. The status shows a count under its key, not its
+// name, if the proxy has not published that count itself.
 func (s proxyStatus) value(name string) float64 {
 	key := listenerKey(name)
 	for _, sum := range s.Sums {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -18,8 +18,8 @@
 	Progress        io.Writer // gets a status line that overwrites itself; nil for none
 }
 
-// Run runs all steps of a plan. It returns an error if a step can't be run or measured; figures that miss the expectations are
-// in the report. A run that is interrupted reports the steps until then.
+// Run runs all steps of a plan. It returns an error if a step can't be run or measured; figures that miss the
+// expectations are in the report. A run that is interrupted reports the steps until then.
 func Run(ctx context.Context, p *Plan, o Options) (*Report, error) {
 	machine, err := ThisMachine()
 	if err != nil {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -301,8 +301,8 @@
 		"cut out":                                {&Impairment{CutOut: []int{2}}, 100, 0, true},
 		"cut elsewhere":                          {&Impairment{CutIn: []int{3}, CutOut: []int{3}}, 100, 100, true},
 		"all are lost":                           {&Impairment{Lost: 1}, 0, 0, true},
-		"all are doubled":                        {&Impairment{Doubled: 1}, 200, 200, true},
-		"each second is overtaken, all are late": {&Impairment{Reordered: 1}, 100, 0, false},
+		"all are duplicated":                     {&Impairment{Doubled: 1}, 200, 200, true},
+		"each second is reordered, all are late": {&Impairment{Reordered: 1}, 100, 0, false},
 	} {
 		if in, out, inOrder := passDatagrams(t, test.impairment); in != test.in || out != test.out || inOrder != test.inOrder {
 			t.Errorf("%s: %d in, %d out, in order %t", name, in, out, inOrder)
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -71,9 +71,9 @@
 	return d.Sync()
 }
 
-// Repair cuts a torn end off the last segment, or removes a last segment without a batch. The segment as it was is kept beside
-// it under the returned name; "" means that there was nothing to repair. Any other damage is left as it is and returned as an
-// error.
+// Repair cuts a torn end off the last segment, or removes a last segment without a batch. The segment as it was is kept
+// beside it under the returned name; "" means that there was nothing to repair. Any other damage is left as it is and
+// returned as an error.
 func (f *Folder) Repair() (kept string, err error) {
 	recovered, err := Recover(f)
 	if err != nil || len(recovered.Segments) == 0 {
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -1,6 +1,6 @@
-// Package store keeps records that must survive a restart, by table and key, in append-only segments. It decides which part of
-// a folder can be trusted after a crash, and acknowledges a batch once it is durable. It has no compaction and no snapshots,
-// and the proxy does not use it yet. docs/store.md describes the format and the guarantees.
+// Package store keeps records that must survive a restart, by table and key, in append-only segments. It decides which
+// part of a folder can be trusted after a crash, and acknowledges a batch once it is durable. It has no compaction and no
+// snapshots, and the proxy does not use it yet. docs/store.md describes the format and the guarantees.
 package store
 
 import (
@@ -106,7 +106,8 @@
 // errTorn is returned if the data ends within a batch, or the batch is damaged.
 var errTorn = errors.New("batch is cut off or damaged")
 
-// readBatch decodes the batch at the start of the data. size is its length in bytes. The values of ops share memory with data.
+// readBatch decodes the batch at the start of the data. size is its length in bytes. The values of ops share memory with
+// data.
 func readBatch(data []byte) (seq Seq, ops []Op, size int, err error) {
 	if len(data) < batchHeaderSize {
 		return 0, nil, 0, errTorn
--- a/internal/store/passing_test.go
+++ b/internal/store/passing_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// flakyDisk is a faultyDisk on which each call fails at random with a temporary error: ENOSPC or EIO. Data that a failed write
-// has left in a file stays there.
+// flakyDisk is a faultyDisk on which each call fails at random with a temporary error: ENOSPC or EIO. Data that a failed
+// write has left in a file stays there.
 type flakyDisk struct {
 	faultyDisk
 	chance *rand.Rand
@@ -70,8 +70,8 @@
 	return f.faultyFile.Truncate(size)
 }
 
-// TestPassingFailures checks writing through temporary errors: each accepted batch is acknowledged, in order, and recovered after
-// a loss of power, and nothing else is.
+// TestPassingFailures checks writing through temporary errors: each accepted batch is acknowledged, in order, and
+// recovered after a loss of power, and nothing else is.
 func TestPassingFailures(t *testing.T) {
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -42,8 +42,8 @@
 // segmentSuffix is the end of a segment's name; the start is the sequence number of its first batch.
 const segmentSuffix = ".segment"
 
-// Recover reads all segments of a folder. A loss of power leaves a last segment that ends within a batch: its whole batches are
-// recovered, and Torn describes the rest. Any other fault is a *Damage.
+// Recover reads all segments of a folder. A loss of power leaves a last segment that ends within a batch: its whole
+// batches are recovered, and Torn describes the rest. Any other fault is a *Damage.
 func Recover(folder fs.FS) (*Recovered, error) {
 	entries, err := fs.ReadDir(folder, ".")
 	if err != nil {
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// laterBatchFollows reports whether the data contains a whole batch with a number above last, at any offset. If so, the invalid
-// bytes before it are damage in the middle and not a torn end.
+// laterBatchFollows reports whether the data contains a whole batch with a number above last, at any offset. If so, the
+// invalid bytes before it are damage in the middle and not a torn end.
 func laterBatchFollows(data []byte, last Seq) bool {
 	for offset := range data {
 		if seq, _, _, err := readBatch(data[offset:]); err == nil && seq > last {
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -14,8 +14,8 @@
 const closeTimeout = 5 * time.Second
 
 // Writer appends batches. Pending batches share one sync (group commit). Each is acknowledged after the sync that made it
-// durable, in the order of the appends. On a temporary error of the disk they stay pending and are written again. Append never
-// blocks its caller.
+// durable, in the order of the appends. On a temporary error of the disk they stay pending and are written again. Append
+// never blocks its caller.
 type Writer struct {
 	disk            Disk
 	maxPending      int // largest number of batches that wait
@@ -66,8 +66,9 @@
 	return w, nil
 }
 
-// Append queues a batch. done is called from another goroutine: with the sequence number once the batch is durable, or with an
-// error if it may not be. done must not block. If maxPending batches are pending, the batch is refused with ErrFull and counted.
+// Append queues a batch. done is called from another goroutine: with the sequence number once the batch is durable, or
+// with an error if it may not be. done must not block. If maxPending batches are pending, the batch is refused with
+// ErrFull and counted.
 func (w *Writer) Append(ops []Op, done func(Seq, error)) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -95,8 +96,8 @@
 	return w.shed
 }
 
-// Close commits the pending batches and stops the writer. While the disk has temporary errors it retries for up to 5 s; batches
-// that are still pending then are reported as failed.
+// Close commits the pending batches and stops the writer. While the disk has temporary errors it retries for up to 5 s;
+// batches that are still pending then are reported as failed.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	if !w.closed {
@@ -125,9 +126,9 @@
 	}
 }
 
-// commit writes all pending batches and syncs once. After a temporary error all data behind the durable part is written again,
-// because a later sync that succeeds does not restore what a failed one has lost. After any other error nothing is written any
-// more.
+// commit writes all pending batches and syncs once. After a temporary error all data behind the durable part is written
+// again, because a later sync that succeeds does not restore what a failed one has lost. After any other error nothing is
+// written any more.
 func (w *Writer) commit() {
 	w.mu.Lock()
 	batches, failed := w.pending, w.failed
@@ -193,7 +194,8 @@
 	return nil
 }
 
-// openSegment opens the segment for the next batches, if there is none or the current one is full, and makes its name durable.
+// openSegment opens the segment for the next batches, if there is none or the current one is full, and makes its name
+// durable.
 func (w *Writer) openSegment(first Seq) error {
 	if w.file != nil && !w.isDirty && w.size >= w.maxSegmentBytes {
 		w.file.Close() // an error is of no interest: all data is durable already
--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -83,8 +83,8 @@
 	return folder
 }
 
-// TestAcknowledged checks that, whichever write or sync fails and whenever power is lost, all acknowledged batches are recovered
-// in order, together with none that was never appended, and that nothing is acknowledged after a failure.
+// TestAcknowledged checks that, whichever write or sync fails and whenever power is lost, all acknowledged batches are
+// recovered in order, together with none that was never appended, and that nothing is acknowledged after a failure.
 func TestAcknowledged(t *testing.T) {
 	for seed := range int64(300) {
 		rng := rand.New(rand.NewSource(seed))
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestFolder checks on a real folder that a writer continues after the batches of the one before, and that two writers at once
-// are refused.
+// TestFolder checks on a real folder that a writer continues after the batches of the one before, and that two writers at
+// once are refused.
 func TestFolder(t *testing.T) {
 	path := t.TempDir()
 	for run := range 3 {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -172,7 +172,8 @@
 	return w.Flush()
 }
 
-// Cut returns the sessions that arrive from one time to before another, with arrivals counted from the first of the two times.
+// Cut returns the sessions that arrive from one time to before another, with arrivals counted from the first of the two
+// times.
 func Cut(sessions []Session, from, to time.Duration) []Session {
 	var kept []Session
 	for _, s := range sessions {
