--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -247,3 +247,33 @@
 		disk.Close()
 	}
 }
+
+// TestRepairAfterCrash checks that a repair that a crash interrupted can be made again: the link that keeps the segment as it
+// was exists by then, and the segment is still torn.
+func TestRepairAfterCrash(t *testing.T) {
+	folder, names, _ := writeSegments(t, 2)
+	path := t.TempDir()
+	for _, name := range names {
+		data := folder[name].Data
+		if name == names[2] {
+			data = data[:len(data)-1]
+		}
+		if err := os.WriteFile(path+"/"+name, data, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := os.Link(path+"/"+names[2], path+"/"+names[2]+".torn"); err != nil {
+		t.Fatal(err)
+	}
+	disk, err := OpenFolder(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer disk.Close()
+	if kept, err := disk.Repair(); err != nil || kept == "" {
+		t.Fatalf("the second repair: %v, kept %q", err, kept)
+	}
+	if after, err := Recover(disk); err != nil || after.Torn != "" {
+		t.Errorf("after the second repair: %v, %+v", err, after)
+	}
+}
