--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,6 +1,7 @@
-// Benchlink runs the decisions of many proxies, as instances in one process, on the simulator's wire: it reads batches
-// of events from standard input and writes what the decision module answers to standard output. It has no clock and no
-// sockets of its own; the settings are read by the same package as the proxy's.
+// Benchlink runs the decision module (package choice) of many simulated proxies, as instances in one process. It reads
+// batches of events from the simulator on standard input and writes one reply with the resulting actions for each batch
+// to standard output, in the form of package benchwire. It has no clock and no sockets of its own. The settings of an
+// instance are read by the same package as the proxy's, internal/start.
 package main
 
 import (
@@ -22,23 +23,23 @@
 	}
 }
 
-// proxy is one instance.
-type proxy struct {
-	start    time.Duration
-	balancer *choice.Balancer
+// proxyInstance is one simulated proxy.
+type proxyInstance struct {
+	startClock time.Duration // on the simulator's clock; the balancer's times count from it
+	balancer   *choice.Balancer
 }
 
-// link connects the instances to the wire.
-type link struct {
-	proxies map[benchwire.InstanceID]proxy
-	reply   benchwire.Reply
-	entries []choice.Entry
+// adapter passes the simulator's events to the instances and collects their actions.
+type adapter struct {
+	instances map[benchwire.InstanceID]proxyInstance
+	reply     benchwire.Reply // to the current batch
+	entries   []choice.Entry  // buffer for the entries of a list
 }
 
-// serve answers batches until the input ends.
+// serve answers batches until the input ends. It returns an error if the input is malformed or ends within a batch.
 func serve(in io.Reader, out io.Writer) error {
 	reader := benchwire.NewReader(in)
-	l := link{proxies: make(map[benchwire.InstanceID]proxy)}
+	a := adapter{instances: make(map[benchwire.InstanceID]proxyInstance)}
 	for {
 		batch, err := reader.Next()
 		if err == io.EOF {
@@ -47,68 +48,68 @@
 		if err != nil {
 			return err
 		}
-		l.reply.Start(batch.Number)
-		for i := range batch.Records {
-			if err := l.handle(&batch); err != nil {
+		a.reply.Reset(batch.Number)
+		for i := range batch.RecordCount {
+			if err := a.handle(&batch); err != nil {
 				return fmt.Errorf("batch %d, record %d: %w", batch.Number, i, err)
 			}
 		}
-		if err := batch.End(); err != nil {
+		if err := batch.CheckEnd(); err != nil {
 			return fmt.Errorf("batch %d: %w", batch.Number, err)
 		}
-		if _, err := l.reply.WriteTo(out); err != nil {
+		if _, err := a.reply.WriteTo(out); err != nil {
 			return err
 		}
 	}
 }
 
-// handle hands the next record of a batch to its instance.
-func (l *link) handle(batch *benchwire.Batch) error {
-	code, fields, err := batch.Record()
+// handle passes the next record of a batch to its instance.
+func (a *adapter) handle(batch *benchwire.Batch) error {
+	code, fields, err := batch.NextRecord()
 	if err != nil {
 		return err
 	}
 	instance := benchwire.InstanceID(fields.U16())
-	if code == benchwire.CodeStart {
-		return l.startProxy(instance, fields, batch.Clock)
+	if code == benchwire.CodeStartInstance {
+		return a.startInstance(instance, fields, batch.Clock)
 	}
-	p, known := l.proxies[instance]
+	p, known := a.instances[instance]
 	if !known {
 		return fmt.Errorf("code %d for proxy %d, which has not started", code, instance)
 	}
-	now := batch.Clock - p.start
+	now := batch.Clock - p.startClock
 	switch code {
-	case benchwire.CodeProbed:
-		return ignoreProbe(&fields)
-	case benchwire.CodeNote:
-		return p.note(now, &fields)
+	case benchwire.CodeProbeResult:
+		return ignoreProbeResult(&fields)
+	case benchwire.CodeMeasurement:
+		return p.handleMeasurement(now, &fields)
 	case benchwire.CodeArrival:
-		return p.arrival(now, &fields)
-	case benchwire.CodeOpenHeld:
-		return p.openHeld(now, &fields)
-	case benchwire.CodeTick:
-		return p.tick(now, &fields)
-	case benchwire.CodePeer:
-		return l.peerMessage(now, instance, p, &fields)
-	case benchwire.CodeStop:
-		delete(l.proxies, instance)
-		return fields.End()
-	case benchwire.CodeSettled:
-		return p.settled(now, &fields)
-	case benchwire.CodeOpened:
-		return p.opened(now, &fields)
+		return p.handleArrival(now, &fields)
+	case benchwire.CodeAdoptSession:
+		return p.handleAdoptSession(now, &fields)
+	case benchwire.CodeTimerFired:
+		return p.handleTimer(now, &fields)
+	case benchwire.CodePeerMessage:
+		return a.handlePeerMessage(now, instance, p, &fields)
+	case benchwire.CodeStopInstance:
+		delete(a.instances, instance)
+		return fields.CheckEnd()
+	case benchwire.CodeDialEnd:
+		return p.handleDialEnd(now, &fields)
+	case benchwire.CodeSessionOpened:
+		return p.handleOpened(now, &fields)
 	case benchwire.CodeList:
-		return l.list(now, p, &fields)
-	case benchwire.CodeLeft:
-		return p.left(now, &fields)
+		return a.handleList(now, p, &fields)
+	case benchwire.CodeClientGone:
+		return p.handleClientGone(now, &fields)
 	}
 	return fmt.Errorf("unknown code %d", code)
 }
 
-// startProxy makes an instance by its settings.
-func (l *link) startProxy(instance benchwire.InstanceID, fields benchwire.Fields, clock time.Duration) error {
+// startInstance creates an instance from the settings in a record, in place of an earlier instance of the same id.
+func (a *adapter) startInstance(instance benchwire.InstanceID, fields benchwire.Fields, clock time.Duration) error {
 	seed, settings := fields.U64(), fields.Bytes(4)
-	if err := fields.End(); err != nil {
+	if err := fields.CheckEnd(); err != nil {
 		return err
 	}
 	var (
@@ -117,38 +118,40 @@
 		budget    choice.RetryBudget
 		list      choice.ListSettings
 		cold      choice.ColdSettings
-		messages  choice.PeerReportSettings
+		reports   choice.PeerReportSettings
 	)
-	if err := start.ParseBalancer(settings, &listeners, &dials, &budget, &list, &cold, &messages); err != nil {
+	if err := start.ParseBalancer(settings, &listeners, &dials, &budget, &list, &cold, &reports); err != nil {
 		return err
 	}
 	rng := rand.New(rand.NewSource(int64(seed)))
-	balancer := choice.New(front{instance: instance, reply: &l.reply}, rng, listeners, dials, budget, list, cold, messages)
-	l.proxies[instance] = proxy{start: clock, balancer: balancer}
+	balancer := choice.New(front{instance: instance, reply: &a.reply}, rng, listeners, dials, budget, list, cold, reports)
+	a.instances[instance] = proxyInstance{startClock: clock, balancer: balancer}
 	return nil
 }
 
-// peerMessage hands on what another proxy has sent; a malformed message is logged and ignored.
-func (l *link) peerMessage(now time.Duration, instance benchwire.InstanceID, p proxy, fields *benchwire.Fields) error {
+// handlePeerMessage passes on a delay report of another proxy. A malformed one is logged and ignored: it must not end the
+// process.
+func (a *adapter) handlePeerMessage(now time.Duration, instance benchwire.InstanceID, p proxyInstance, fields *benchwire.Fields) error {
 	from, payload := fields.U16(), fields.Bytes(2)
-	if err := fields.End(); err != nil {
+	if err := fields.CheckEnd(); err != nil {
 		return err
 	}
 	server, delay, err := benchwire.ParseDelayReport(payload)
 	if err != nil {
-		l.reply.Log(instance, fmt.Sprintf("a word from proxy %d is ignored: %v", from, err))
+		a.reply.Log(instance, fmt.Sprintf("a word from proxy %d is ignored: %v", from, err))
 		return nil
 	}
 	p.balancer.ReceiveOverload(now, server, delay)
 	return nil
 }
 
-func (l *link) list(now time.Duration, p proxy, fields *benchwire.Fields) error {
+// handleList passes on a list of servers, or the failure of its subscription.
+func (a *adapter) handleList(now time.Duration, p proxyInstance, fields *benchwire.Fields) error {
 	var kind choice.ListKind
-	kind, l.entries = fields.List(l.entries[:0], p.start)
-	if err := fields.End(); err != nil {
+	kind, a.entries = fields.List(a.entries[:0], p.startClock)
+	if err := fields.CheckEnd(); err != nil {
 		return err
 	}
-	p.balancer.ApplyList(now, kind, l.entries)
+	p.balancer.ApplyList(now, kind, a.entries)
 	return nil
 }
--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -1,5 +1,7 @@
-// Package benchwire reads and writes the binary frames of the simulator's wire, for cmd/benchlink. It checks that frames
-// are well formed; what an event means is the decision module's. Delay reports have the same form between real proxies.
+// Package benchwire reads and writes the binary frames that cmd/benchlink exchanges with the simulator: batches of events
+// in, replies with actions out. All numbers are little-endian; times are milliseconds, as float64 outside delay reports. The
+// package checks that frames are well formed; it does not interpret events, which package choice does. Real proxies
+// exchange delay reports in the same form.
 package benchwire
 
 import (
@@ -14,68 +16,70 @@
 	"chalkferry/choice"
 )
 
-// InstanceID identifies a proxy on the wire.
+// InstanceID identifies one simulated proxy on the wire.
 type InstanceID uint16
 
-// Codes of the records that are received.
+// Codes of the event records received from the simulator.
 const (
-	CodeProbed   = 0
-	CodeNote     = 1
-	CodeArrival  = 2
-	CodeTick     = 3
-	CodePeer     = 4
-	CodeStart    = 5
-	CodeOpenHeld = 6
-	CodeStop     = 7
-	CodeSettled  = 8
-	CodeOpened   = 9
-	CodeList     = 10
-	CodeLeft     = 11
+	CodeProbeResult   = 0
+	CodeMeasurement   = 1
+	CodeArrival       = 2
+	CodeTimerFired    = 3
+	CodePeerMessage   = 4
+	CodeStartInstance = 5
+	CodeAdoptSession  = 6
+	CodeStopInstance  = 7
+	CodeDialEnd       = 8
+	CodeSessionOpened = 9
+	CodeList          = 10
+	CodeClientGone    = 11
 )
 
-// Codes of the records that are sent.
+// Codes of the action records sent to the simulator.
 const (
-	codeTimer    = 3
-	codeWatch    = 4
-	codeLog      = 5
-	codeRefuse   = 7
-	codePublish  = 9
-	codeTearDown = 10
-	codeMove     = 11
-	codeDial     = 12
+	codeStartTimer      = 3
+	codeSubscribeList   = 4
+	codeLog             = 5
+	codeRefuse          = 7
+	codePublishOverload = 9
+	codeAbort           = 10
+	codeMove            = 11
+	codeDial            = 12
 )
 
+// Sizes in bytes, unless a comment says otherwise.
 const (
-	batchHeader   = 20
-	replyHeader   = 12
-	recordHeader  = 5
-	entrySize     = 23
-	maxLoadValues = 4 // of a load report
+	batchHeaderSize  = 20
+	replyHeaderSize  = 12
+	recordHeaderSize = 5
+	entrySize        = 23 // of one server in a list
+	maxLoadValues    = 4  // values in a load report
 )
 
 var errTruncated = errors.New("record ends early")
 
-// Batch is one frame of events.
+// Batch is one frame of event records, which all happen at the same time.
 type Batch struct {
-	Clock   time.Duration
-	Records int
-	Number  uint32
-	body    []byte
+	Clock       time.Duration // simulated time of the events, on the simulator's clock
+	RecordCount int           // records that the header announces
+	Number      uint32        // sequence number, repeated in the reply
+	body        []byte        // records not read yet
 }
 
 // Reader reads batches from a stream.
 type Reader struct {
-	from io.Reader
-	body bytes.Buffer
+	stream io.Reader
+	body   bytes.Buffer
 }
 
-// NewReader reads from a stream.
-func NewReader(from io.Reader) *Reader { return &Reader{from: from} }
+// NewReader returns a Reader of the batches in stream.
+func NewReader(stream io.Reader) *Reader { return &Reader{stream: stream} }
 
-// Next reads the next batch. It returns io.EOF only between batches. The batch is valid until the next call.
+// Next reads the next batch. It returns io.EOF if the stream ends between two batches, and another error if it ends within
+// one. The batch is valid until the next call.
 func (r *Reader) Next() (Batch, error) {
-	var head [batchHeader]byte
-	if _, err := io.ReadFull(r.from, head[:]); err != nil {
+	var head [batchHeaderSize]byte
+	if _, err := io.ReadFull(r.stream, head[:]); err != nil {
 		if err == io.EOF {
 			return Batch{}, err
 		}
@@ -87,25 +91,25 @@
 	}
 	size := int64(binary.LittleEndian.Uint32(head[8:]))
 	r.body.Reset()
-	if _, err := io.CopyN(&r.body, r.from, size); err != nil {
+	if _, err := io.CopyN(&r.body, r.stream, size); err != nil {
 		return Batch{}, fmt.Errorf("batch body: %w", io.ErrUnexpectedEOF)
 	}
 	return Batch{
-		Clock:   clock,
-		Records: int(binary.LittleEndian.Uint32(head[12:])),
-		Number:  binary.LittleEndian.Uint32(head[16:]),
-		body:    r.body.Bytes(),
+		Clock:       clock,
+		RecordCount: int(binary.LittleEndian.Uint32(head[12:])),
+		Number:      binary.LittleEndian.Uint32(head[16:]),
+		body:        r.body.Bytes(),
 	}, nil
 }
 
-// Record takes the next record off the batch: its code, and its fields.
-func (b *Batch) Record() (code byte, fields Fields, err error) {
-	if len(b.body) < recordHeader {
+// NextRecord removes the next record from the batch and returns its code and its fields.
+func (b *Batch) NextRecord() (code byte, fields Fields, err error) {
+	if len(b.body) < recordHeaderSize {
 		return 0, Fields{}, errTruncated
 	}
 	code = b.body[0]
 	size := uint64(binary.LittleEndian.Uint32(b.body[1:]))
-	rest := b.body[recordHeader:]
+	rest := b.body[recordHeaderSize:]
 	if size > uint64(len(rest)) {
 		return 0, Fields{}, errTruncated
 	}
@@ -113,21 +117,23 @@
 	return code, Fields{rest: rest[:size]}, nil
 }
 
-// End reports bytes that no record claims.
-func (b *Batch) End() error {
+// CheckEnd returns an error if bytes follow the last record that was read.
+func (b *Batch) CheckEnd() error {
 	if len(b.body) != 0 {
-		return fmt.Errorf("%d bytes behind the last record", len(b.body))
+		return fmt.Errorf("%d bytes after the last record", len(b.body))
 	}
 	return nil
 }
 
-// Fields reads the fields of a record one after another. The first error sticks; values read after it are 0.
+// Fields reads the fields of a record one after another. The first error is kept, and values read after it are 0; call
+// CheckEnd before using any value.
 type Fields struct {
-	rest []byte
-	err  error
+	rest []byte // bytes not read yet
+	err  error  // first error
 }
 
-func (f *Fields) next(n int) []byte {
+// take returns the next n bytes, or nil if there was an error or fewer than n are left.
+func (f *Fields) take(n int) []byte {
 	if f.err == nil && n > len(f.rest) {
 		f.err = errTruncated
 	}
@@ -139,60 +145,61 @@
 	return b
 }
 
-// End returns the first error, or one about fields that were not read.
-func (f *Fields) End() error {
+// CheckEnd returns the first error, or an error if bytes of the record were not read.
+func (f *Fields) CheckEnd() error {
 	if f.err == nil && len(f.rest) != 0 {
 		f.err = fmt.Errorf("%d bytes too many in a record", len(f.rest))
 	}
 	return f.err
 }
 
-// U8 reads an unsigned integer of 8 bits.
+// U8 reads an 8-bit unsigned integer.
 func (f *Fields) U8() uint8 {
-	if b := f.next(1); b != nil {
+	if b := f.take(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-// U16 reads an unsigned integer of 16 bits.
+// U16 reads a 16-bit unsigned integer.
 func (f *Fields) U16() uint16 {
-	if b := f.next(2); b != nil {
+	if b := f.take(2); b != nil {
 		return binary.LittleEndian.Uint16(b)
 	}
 	return 0
 }
 
-// U32 reads an unsigned integer of 32 bits.
+// U32 reads a 32-bit unsigned integer.
 func (f *Fields) U32() uint32 {
-	if b := f.next(4); b != nil {
+	if b := f.take(4); b != nil {
 		return binary.LittleEndian.Uint32(b)
 	}
 	return 0
 }
 
-// U64 reads an unsigned integer of 64 bits.
+// U64 reads a 64-bit unsigned integer.
 func (f *Fields) U64() uint64 {
-	if b := f.next(8); b != nil {
+	if b := f.take(8); b != nil {
 		return binary.LittleEndian.Uint64(b)
 	}
 	return 0
 }
 
-func (f *Fields) finite(v float64) float64 {
+// requireFinite records an error if v is NaN or infinite.
+func (f *Fields) requireFinite(v float64) float64 {
 	if f.err == nil && (math.IsNaN(v) || math.IsInf(v, 0)) {
 		f.err = errors.New("number is not finite")
 	}
 	return v
 }
 
-// F32 reads a finite number of 32 bits.
-func (f *Fields) F32() float64 { return f.finite(float64(math.Float32frombits(f.U32()))) }
+// F32 reads a 32-bit floating-point number, which must be finite.
+func (f *Fields) F32() float64 { return f.requireFinite(float64(math.Float32frombits(f.U32()))) }
 
-// F64 reads a finite number of 64 bits.
-func (f *Fields) F64() float64 { return f.finite(math.Float64frombits(f.U64())) }
+// F64 reads a 64-bit floating-point number, which must be finite.
+func (f *Fields) F64() float64 { return f.requireFinite(math.Float64frombits(f.U64())) }
 
-// Duration reads a time in milliseconds.
+// Duration reads a time in milliseconds, as a 64-bit floating-point number.
 func (f *Fields) Duration() time.Duration {
 	d, err := fromMillis(f.F64())
 	if f.err == nil {
@@ -201,7 +208,8 @@
 	return d
 }
 
-// Bytes reads bytes behind their count, of 2 or 4 bytes. They are valid until the next batch.
+// Bytes reads a byte count, which takes countWidth (2 or 4) bytes itself, and then as many bytes. The result is valid until
+// the next batch.
 func (f *Fields) Bytes(countWidth int) []byte {
 	n := 0
 	if countWidth == 2 {
@@ -209,10 +217,10 @@
 	} else {
 		n = int(f.U32())
 	}
-	return f.next(n)
+	return f.take(n)
 }
 
-// SkipLoadReport skips a load report, which nothing reads.
+// SkipLoadReport skips a load report, which is part of some records but not used.
 func (f *Fields) SkipLoadReport() {
 	n := f.U8()
 	if f.err == nil && n > maxLoadValues {
@@ -223,7 +231,7 @@
 	}
 }
 
-// Outcome reads an outcome code.
+// Outcome reads the code of how a dial ended. An unknown code is an error.
 func (f *Fields) Outcome() choice.Outcome {
 	o := choice.Outcome(f.U16())
 	if f.err == nil && (o < choice.Accepted || o > choice.NotSent) {
@@ -232,13 +240,15 @@
 	return o
 }
 
-// List reads the kind and the entries of a list of servers; since turns a clock time into a span.
-func (f *Fields) List(into []choice.Entry, start time.Duration) (choice.ListKind, []choice.Entry) {
+// List reads the kind and the entries of a list of servers, and appends the entries to dst. On the wire the start of a server
+// is a time on the simulator's clock, 0 if unknown; instanceStart, the time on that clock when the instance started, is
+// subtracted from it.
+func (f *Fields) List(dst []choice.Entry, instanceStart time.Duration) (choice.ListKind, []choice.Entry) {
 	kind := choice.ListKind(f.U8())
 	f.U64()
 	n := uint64(f.U32())
 	if f.err == nil && kind > choice.ListFailed {
-		f.err = fmt.Errorf("unknown kind of list %d", kind)
+		f.err = fmt.Errorf("unknown list kind %d", kind)
 	}
 	if f.err == nil && n*entrySize != uint64(len(f.rest)) {
 		f.err = fmt.Errorf("%d entries in %d bytes", n, len(f.rest))
@@ -247,16 +257,18 @@
 		e := choice.Entry{Size: f.F32(), Cell: choice.CellID(f.U16()), Zone: choice.ZoneID(f.U16()),
 			ID: choice.ServerID(f.U32()), Status: choice.ServerStatus(f.U8()),
 			Model: choice.ModelID(f.U16())}
-		since := f.Duration()
-		e.StartKnown, e.StartedAt = since != 0, since-start
+		startClock := f.Duration()
+		e.StartKnown, e.StartedAt = startClock != 0, startClock-instanceStart
 		if f.err == nil && e.Status > choice.Draining {
-			f.err = fmt.Errorf("unknown standing %d", e.Status)
+			f.err = fmt.Errorf("unknown server status %d", e.Status)
 		}
-		into = append(into, e)
+		dst = append(dst, e)
 	}
-	return kind, into
+	return kind, dst
 }
 
+// fromMillis converts milliseconds to a Duration, rounded to microseconds. NaN and magnitudes of 1e12 ms (about 32 years)
+// or more are errors; a Duration overflows at about nine times that.
 func fromMillis(ms float64) (time.Duration, error) {
 	if !(math.Abs(ms) < 1e12) {
 		return 0, fmt.Errorf("time %v is out of range", ms)
--- a/internal/benchwire/delayreport.go
+++ b/internal/benchwire/delayreport.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// DelayReportSize is the size of a delay report, a message between proxies: a server's id, and the delay of its messages
-	// in milliseconds.
+	// DelayReportSize is the size in bytes of a delay report, a message between proxies: a server's id (4 bytes) and the
+	// delay of its messages in milliseconds (2 bytes).
 	DelayReportSize = 6
-	// FullMessage is the size of a message that costs the full price.
+	// FullMessage is the size in bytes of a message that costs the full configured price. Smaller ones cost in proportion.
 	FullMessage = 256
-	// allPeers is the destination of a message to all other proxies.
+	// allPeers is the wire's destination number for a message to all other proxies.
 	allPeers = 0xffff
 )
 
-// AppendDelayReport appends a delay report.
+// AppendDelayReport appends an encoded delay report to dst. A delay above 65535 ms is cut to that.
 func AppendDelayReport(dst []byte, server choice.ServerID, delay time.Duration) []byte {
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(server))
 	return binary.LittleEndian.AppendUint16(dst, uint16(min(delay/time.Millisecond, math.MaxUint16)))
 }
 
-// ParseDelayReport reads a delay report of another proxy's.
+// ParseDelayReport decodes a delay report of another proxy. Data of another size than DelayReportSize is an error.
 func ParseDelayReport(data []byte) (server choice.ServerID, delay time.Duration, err error) {
 	if len(data) != DelayReportSize {
 		return 0, 0, fmt.Errorf("%d bytes", len(data))
@@ -34,15 +34,15 @@
 	return server, time.Duration(binary.LittleEndian.Uint16(data[4:])) * time.Millisecond, nil
 }
 
-// WordSize is DelayReportSize, by the name that internal/start still uses.
+// WordSize is the former name of DelayReportSize, used by internal/start.
 const WordSize = DelayReportSize
 
-// AppendWord is AppendDelayReport, by the name that internal/proxy still uses.
+// AppendWord is the former name of AppendDelayReport, used by internal/proxy.
 func AppendWord(dst []byte, server choice.ServerID, delay time.Duration) []byte {
 	return AppendDelayReport(dst, server, delay)
 }
 
-// Word is ParseDelayReport, by the name that internal/proxy still uses.
+// Word is the former name of ParseDelayReport, used by internal/proxy.
 func Word(data []byte) (server choice.ServerID, delay time.Duration, err error) {
 	return ParseDelayReport(data)
 }
