--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -131,7 +131,8 @@
 
 // handlePeerMessage passes on a delay report of another proxy. A malformed one is logged and ignored: it must not end the
 // process.
-func (a *adapter) handlePeerMessage(now time.Duration, instance benchwire.InstanceID, p proxyInstance, fields *benchwire.Fields) error {
+func (a *adapter) handlePeerMessage(now time.Duration, instance benchwire.InstanceID, p proxyInstance,
+	fields *benchwire.Fields) error {
 	from, payload := fields.U16(), fields.Bytes(2)
 	if err := fields.CheckEnd(); err != nil {
 		return err
