--- a/cmd/chalkferry/aggregate.go
+++ b/cmd/chalkferry/aggregate.go
@@ -13,16 +13,17 @@
 	"chalkferry/internal/sharing"
 )
 
+// aggregateCmd runs an aggregator, which adds up the reports of a region's proxies.
 type aggregateCmd struct {
-	File  string `arg:"" name:"file" help:"The aggregator's TOML file."`
-	Check bool   `help:"Read the file, say what is wrong with it, and end."`
-	Level string `default:"info" enum:"debug,info,warn,error" help:"Least level of what is logged."`
+	File  string `arg:"" name:"file" help:"Configuration of the aggregator, a TOML file."`
+	Check bool   `help:"Validate the file and exit."`
+	Level string `default:"info" enum:"debug,info,warn,error" help:"Lowest level that is logged."`
 }
 
-// Run aggregates until the process is told to end.
+// Run runs the aggregator until SIGTERM or SIGINT.
 func (c *aggregateCmd) Run() error {
-	ended := make(chan os.Signal, 1)
-	signal.Notify(ended, syscall.SIGTERM, syscall.SIGINT)
+	terminate := make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
 	config, err := sharing.ReadAggregator(c.File)
 	if err != nil {
 		return err
@@ -35,19 +36,19 @@
 	if err != nil {
 		return err
 	}
-	signal.Ignore(syscall.SIGPIPE) // of a log whose reader has gone
+	signal.Ignore(syscall.SIGPIPE) // a log whose reader has closed the pipe must not end the process
 	output := asynclog.New(os.Stdout)
-	defer output.Close(logPatience)
+	defer output.Close(logFlushTimeout)
 	log := output.Logger(level)
 	var aggregator *sharing.Aggregator
-	err = failure.RetryFor(startPatience, failure.Listen, failure.NewLog(log), func() (err error) {
+	err = failure.RetryFor(startRetryLimit, failure.Listen, failure.NewLog(log), func() (err error) {
 		aggregator, err = sharing.StartAggregator(*config, log)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	log.Info().Stringer("signal", <-ended).Msg("ending")
+	log.Info().Stringer("signal", <-terminate).Msg("ending")
 	aggregator.Close()
 	return nil
 }
--- a/cmd/chalkferry/capacity.go
+++ b/cmd/chalkferry/capacity.go
@@ -10,15 +10,17 @@
 	"chalkferry/internal/capacity"
 )
 
+// capacityCmd computes the resources of a fleet of some size from measured slopes. A slope is a cost per unit of load.
 type capacityCmd struct {
-	Table capacityTableCmd `cmd:"" default:"withargs" help:"Print what each role costs at a size, as markdown."`
-	Fit   capacityFitCmd   `cmd:"" help:"Fit slopes to measured steps and put them into a slopes file."`
+	Table capacityTableCmd `cmd:"" default:"withargs" help:"Print the cost of each role at a size, as Markdown."`
+	Fit   capacityFitCmd   `cmd:"" help:"Fit slopes to measured steps and store them in a slopes file."`
 }
 
+// capacityTableCmd prints the cost of each role.
 type capacityTableCmd struct {
-	Size   string `arg:"" help:"The size, a TOML file; docs/capacity/size.toml is the operators'." type:"existingfile"`
-	Slopes string `help:"The slopes that runs have measured; slopes.json beside the size without."`
-	Page   string `help:"A page: renew the part between its markers, and print nothing." type:"existingfile"`
+	Size   string `arg:"" help:"The size, a TOML file; operators use docs/capacity/size.toml." type:"existingfile"`
+	Slopes string `help:"File of the measured slopes; by default slopes.json in the folder of the size."`
+	Page   string `help:"A Markdown page: update the part between its markers instead of printing." type:"existingfile"`
 }
 
 func (c *capacityTableCmd) Run() error {
@@ -39,17 +41,18 @@
 	return capacity.Table(os.Stdout, size, slopes)
 }
 
+// capacityFitCmd fits slopes to the output of a measuring run.
 type capacityFitCmd struct {
-	Output    string   `short:"o" required:"" help:"The slopes file; slopes of other names stay in it."`
-	Command   string   `help:"The command whose output is read, as another would run it. A scale run's report names it."`
-	Commit    string   `help:"The commit that was measured. A scale run's report names it."`
-	Date      string   `help:"The day of the run; today without."`
-	Machine   string   `help:"The machine; what the output says without."`
-	Note      string   `help:"What is to be known of the run."`
-	Sessions  []string `help:"Reports of rehearsals with one proxy in which the sessions vary, in place of benchmarks on standard input." type:"existingfile"`
-	Messages  []string `help:"The same with the messages varied." type:"existingfile"`
+	Output    string   `short:"o" required:"" help:"The slopes file to update; slopes of other names are kept."`
+	Command   string   `help:"The command that produced the output, such that others can repeat it. Not needed with --scale, whose report names it."`
+	Commit    string   `help:"The commit that was measured. Not needed with --scale, whose report names it."`
+	Date      string   `help:"The day of the run, YYYY-MM-DD; by default today (UTC)."`
+	Machine   string   `help:"The machine; by default as named in the output."`
+	Note      string   `help:"A remark about the run, stored with the slopes."`
+	Sessions  []string `help:"Reports of rehearsals with one proxy that differ in the rate of sessions, instead of benchmarks on standard input." type:"existingfile"`
+	Messages  []string `help:"Reports of rehearsals with one proxy that differ in the rate of messages." type:"existingfile"`
 	Scale     string   `help:"The report of a scale run." type:"existingfile"`
-	Benchmark string   `help:"A file with the output of go test -bench; standard input without." type:"existingfile"`
+	Benchmark string   `help:"A file with the output of go test -bench; by default standard input." type:"existingfile"`
 }
 
 func (c *capacityFitCmd) Run() error {
@@ -57,29 +60,30 @@
 		c.Date = time.Now().UTC().Format(time.DateOnly)
 	}
 	origin := capacity.Origin{Command: c.Command, Commit: c.Commit, Date: c.Date, Machine: c.Machine, Note: c.Note}
-	fitted, err := c.read(origin)
+	fitted, err := c.fit(origin)
 	if err != nil {
 		return err
 	}
 	if len(fitted) == 0 {
-		return errors.New("no slopes in the output")
+		return errors.New("the output contains no slopes")
 	}
 	slopes, err := capacity.ReadSlopes(c.Output)
 	if err != nil {
 		return err
 	}
-	for _, s := range fitted {
-		slopes.Put(s)
+	for _, slope := range fitted {
+		slopes.Put(slope)
 	}
 	return slopes.Write(c.Output)
 }
 
-func (c *capacityFitCmd) read(origin capacity.Origin) ([]*capacity.Slope, error) {
+// fit fits slopes to the output that the flags name.
+func (c *capacityFitCmd) fit(origin capacity.Origin) ([]*capacity.Slope, error) {
 	if c.Scale != "" {
 		return capacity.FromScaleRun(c.Scale, c.Machine, c.Note)
 	}
 	if c.Command == "" || c.Commit == "" {
-		return nil, errors.New("--command and --commit are needed: no figure stands without its run")
+		return nil, errors.New("--command and --commit are required: each slope is stored with the run that produced it")
 	}
 	if len(c.Sessions)+len(c.Messages) > 0 {
 		return capacity.FromRehearsals(c.Sessions, c.Messages, origin)
--- a/cmd/chalkferry/check.go
+++ b/cmd/chalkferry/check.go
@@ -9,13 +9,14 @@
 	"chalkferry/internal/sharing"
 )
 
+// checkCmd validates configuration files.
 type checkCmd struct {
-	File       string `arg:"" optional:"" name:"configuration" env:"RELAY_CONFIG" help:"The configuration, a JSON file."`
-	Fleet      string `help:"The TOML file of serve --fleet, read as well."`
-	Aggregator string `help:"The TOML file of the command aggregate; the configuration may be left out with it."`
+	File       string `arg:"" optional:"" name:"configuration" env:"RELAY_CONFIG" help:"Configuration of the proxy, a JSON file."`
+	Fleet      string `help:"The TOML file of serve --fleet, validated as well."`
+	Aggregator string `help:"The TOML file of the aggregate command. With it the configuration may be left out."`
 }
 
-// Run reads the files as a start would, and starts nothing.
+// Run reads the files as serve and aggregate do, without starting anything.
 func (c *checkCmd) Run() error {
 	if c.Aggregator != "" {
 		if _, err := sharing.ReadAggregator(c.Aggregator); err != nil {
--- a/cmd/chalkferry/compare.go
+++ b/cmd/chalkferry/compare.go
@@ -10,19 +10,19 @@
 	"chalkferry/internal/rehearse"
 )
 
-// compareCmd runs a scenario with two builds in pairs.
+// compareCmd runs a scenario with two builds in pairs of runs and prints the ratios of the results.
 type compareCmd struct {
 	runFlags
-	A        string `arg:"" type:"existingfile" help:"The build that is compared with."`
-	B        string `arg:"" type:"existingfile" help:"The build that is looked at."`
-	Scenario string `arg:"" optional:"" default:"calm" help:"A built-in scenario's name, or a TOML file."`
-	Pairs    int    `default:"5" help:"How many pairs of runs, 2 or more."`
-	JSON     string `name:"json" help:"A file for the ratios."`
+	A        string `arg:"" type:"existingfile" help:"The baseline program."`
+	B        string `arg:"" type:"existingfile" help:"The program to compare with the baseline."`
+	Scenario string `arg:"" optional:"" default:"calm" help:"Name of a built-in scenario, or a TOML file."`
+	Pairs    int    `default:"5" help:"Number of pairs of runs, at least 2."`
+	JSON     string `name:"json" help:"Write the ratios to this JSON file."`
 }
 
 func (c *compareCmd) Run() error {
 	if c.Pairs < 2 {
-		return fmt.Errorf("%d pairs have no spread; at least 2 are needed", c.Pairs)
+		return fmt.Errorf("--pairs is %d; the spread between pairs needs at least 2", c.Pairs)
 	}
 	s, err := rehearse.Load(c.Scenario)
 	if err != nil {
@@ -33,19 +33,19 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	found, err := rehearse.Compare(ctx, s, c.A, c.B, c.Pairs, progress())
+	comparison, err := rehearse.Compare(ctx, s, c.A, c.B, c.Pairs, progressWriter())
 	if err != nil {
 		return err
 	}
 	clearProgress()
-	found.Print(os.Stdout)
+	comparison.Print(os.Stdout)
 	if c.JSON != "" {
-		if err := found.WriteJSON(c.JSON); err != nil {
+		if err := comparison.WriteJSON(c.JSON); err != nil {
 			return err
 		}
 	}
-	if len(found.Failed) > 0 {
-		return errVerdict
+	if len(comparison.Failed) > 0 {
+		return errAlreadyReported
 	}
 	return nil
 }
--- a/cmd/chalkferry/count.go
+++ b/cmd/chalkferry/count.go
@@ -8,9 +8,9 @@
 	"chalkferry/internal/counts"
 )
 
-// countCmd aggregates the logs of a fleet.
+// countCmd counts the events in the logs of a fleet, by second, by server and by list of servers.
 type countCmd struct {
-	Log []string `arg:"" type:"existingfile" help:"Logs of the proxies of one fleet, one each, of one clock."`
+	Log []string `arg:"" type:"existingfile" help:"Logs of the proxies of one fleet, one file for each proxy. Their clocks must agree."`
 }
 
 func (c *countCmd) Run() error {
--- a/cmd/chalkferry/faults_test.go
+++ b/cmd/chalkferry/faults_test.go
@@ -12,9 +12,10 @@
 	"chalkferry/internal/rehearse"
 )
 
-// underFaults runs a scenario with proxies whose system calls fail by a plan. It returns the report; what broke is an error
-// of the test, with the plan.
-func underFaults(t *testing.T, s *rehearse.Scenario, plan faultinject.Plan, logs string) *rehearse.Report {
+// runUnderFaults runs a scenario with proxies whose system calls fail as planned, and returns the report. A failed check of
+// the scenario is an error of the test and logged with the plan; a plan of which no fault was injected is an error, too. logs
+// is the folder for the proxies' logs, "" for none.
+func runUnderFaults(t *testing.T, s *rehearse.Scenario, plan faultinject.Plan, logs string) *rehearse.Report {
 	t.Helper()
 	controller, err := faultinject.New(plan)
 	if err != nil {
@@ -31,15 +32,15 @@
 		t.Fatalf("%v\n%v", err, plan)
 	}
 	for _, err := range controller.Errors() {
-		t.Errorf("the injection itself failed: %v", err)
+		t.Errorf("fault injection failed: %v", err)
 	}
 	failures, injected := controller.Failures(), 0
 	for _, f := range plan.Faults {
-		t.Logf("%d times %v", failures[f.String()], f)
+		t.Logf("injected %d times: %v", failures[f.String()], f)
 		injected += failures[f.String()]
 	}
-	if len(plan.Faults) > 0 && injected == 0 { // guards against a filter that catches nothing any more
-		t.Errorf("no call failed: %v", plan)
+	if len(plan.Faults) > 0 && injected == 0 { // the seccomp filter must still match the proxy's calls
+		t.Errorf("no call failed by plan %v", plan)
 	}
 	for _, text := range r.Failed {
 		t.Error(text)
@@ -53,8 +54,9 @@
 	return r
 }
 
-// calm is the built-in scenario of that name with a stream of sessions at random.
-func calm(t *testing.T, seed int64, length time.Duration, rate float64) *rehearse.Scenario {
+// calmScenario returns the built-in scenario "calm" with another seed, length and rate, in sessions a second. The scenario
+// fails if an open session is cut off.
+func calmScenario(t *testing.T, seed int64, length time.Duration, rate float64) *rehearse.Scenario {
 	t.Helper()
 	s, err := rehearse.Load("calm")
 	if err != nil {
@@ -69,20 +71,21 @@
 	return s
 }
 
-// TestFaults: calls of a serving proxy fail for a moment, each as its manual page documents. No rule is broken, no open
-// session is cut off, and nothing crashes.
+// TestFaults runs proxies in which system calls fail temporarily, with errors that their manual pages document. It checks that
+// no rule of the protocol is broken, no open session is cut off and no proxy crashes.
 func TestFaults(t *testing.T) {
-	const begin = 500 * time.Millisecond
+	const begin = 500 * time.Millisecond // of the faults, after the process's start
 	fault := func(call uintptr, target faultinject.Target, errno unix.Errno, every, run int) faultinject.Fault {
 		return faultinject.Fault{Call: call, Target: target, Errno: errno, Every: every, Run: run, From: begin}
 	}
+	// anyOf has calls fail with each of some errors in turn, together once in every calls on average.
 	anyOf := func(call uintptr, target faultinject.Target, every, run int, errnos ...unix.Errno) (faults []faultinject.Fault) {
 		for _, errno := range errnos {
 			faults = append(faults, fault(call, target, errno, every*len(errnos), run))
 		}
 		return faults
 	}
-	// outage has each such call fail for a while, one kind after the other.
+	// outages makes every matching call fail for outageLength, one kind of fault after the other.
 	const outageLength, outageStep = 200 * time.Millisecond, 300 * time.Millisecond
 	outages := func(faults ...faultinject.Fault) []faultinject.Fault {
 		for i := range faults {
@@ -107,8 +110,8 @@
 			unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETUNREACH, unix.EPERM),
 		"read":  anyOf(unix.SYS_READ, faultinject.Socket, 10, 2, unix.EINTR, unix.EAGAIN, unix.ENOMEM),
 		"write": anyOf(unix.SYS_WRITE, faultinject.Socket, 10, 2, unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM),
-		// A write to an eventfd returns EAGAIN only as its counter is full, eventfd(2), and then it is readable. Go's runtime
-		// relies on that, so that EAGAIN without it, which no kernel returns, is not injected there.
+		// EAGAIN is not injected into writes to an eventfd: they return it only while the counter is full, see eventfd(2), and the
+		// eventfd is readable then. Go's runtime relies on that.
 		"wake-up": append(anyOf(unix.SYS_WRITE, faultinject.EventFD, 5, 2, unix.EINTR),
 			anyOf(unix.SYS_READ, faultinject.EventFD, 10, 2, unix.EINTR, unix.EAGAIN)...),
 		"epoll_ctl": anyOf(unix.SYS_EPOLL_CTL, faultinject.NotEventFD, 6, 3, unix.ENOMEM, unix.ENOSPC),
@@ -127,7 +130,7 @@
 			anyOf(unix.SYS_WRITE, faultinject.Socket, 2, 1, faultinject.Partial)...),
 	} {
 		t.Run(name, func(t *testing.T) {
-			underFaults(t, calm(t, 1, 3*time.Second, 40), faultinject.Plan{Seed: 1, Faults: faults}, "")
+			runUnderFaults(t, calmScenario(t, 1, 3*time.Second, 40), faultinject.Plan{Seed: 1, Faults: faults}, "")
 		})
 	}
 }
--- a/cmd/chalkferry/fleet.go
+++ b/cmd/chalkferry/fleet.go
@@ -13,28 +13,30 @@
 	"chalkferry/internal/sharing"
 )
 
+// fleetCmd groups the commands that query a running fleet.
 type fleetCmd struct {
-	Status fleetStatusCmd `cmd:"" help:"The sums over the fleet as a proxy or an aggregator has them, with age and error."`
+	Status fleetStatusCmd `cmd:"" help:"Print the sums over the fleet that a proxy or an aggregator holds, with age and error."`
 }
 
+// fleetStatusCmd prints the status of a proxy or an aggregator.
 type fleetStatusCmd struct {
-	At   string        `arg:"" name:"file or address" help:"The file of serve --fleet or of aggregate, or the status address in it."`
-	JSON bool          `name:"json" help:"As the process answers it."`
-	Wait time.Duration `default:"2s" help:"For an answer."`
+	Target string        `arg:"" name:"file or address" help:"The TOML file of serve --fleet or of aggregate, or the status address that it sets."`
+	JSON   bool          `name:"json" help:"Print the JSON answer of the process unchanged."`
+	Wait   time.Duration `default:"2s" help:"Timeout of the request."`
 }
 
-// maxStatusBytes is far above what a status with as many keys and members as there may be takes.
+// maxStatusBytes limits the answer. It is far above the size of a status with the most keys and members that are allowed.
 const maxStatusBytes = 1 << 30
 
-// Run asks for the status and prints it.
+// Run requests the status and prints it.
 func (c *fleetStatusCmd) Run() error {
-	address, err := netip.ParseAddrPort(c.At)
+	address, err := netip.ParseAddrPort(c.Target)
 	if err != nil {
-		if address, err = sharing.ReadStatusAddress(c.At); err != nil {
+		if address, err = sharing.ReadStatusAddress(c.Target); err != nil {
 			return err
 		}
 	}
-	text, err := c.ask(address)
+	text, err := c.fetchStatus(address)
 	if err != nil {
 		return err
 	}
@@ -48,7 +50,8 @@
 	return nil
 }
 
-func (c *fleetStatusCmd) ask(address netip.AddrPort) (json.RawMessage, error) {
+// fetchStatus requests the status in JSON.
+func (c *fleetStatusCmd) fetchStatus(address netip.AddrPort) (json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Wait)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/", nil)
--- a/cmd/chalkferry/fleet_rig_test.go
+++ b/cmd/chalkferry/fleet_rig_test.go
@@ -22,17 +22,17 @@
 	"chalkferry/internal/standin/udplink"
 )
 
-// running is one proxy or aggregator as a process of its own.
-type running struct {
+// fleetProcess is one proxy or aggregator of a test's fleet, as a process of its own.
+type fleetProcess struct {
 	args   []string
-	listen string // of a proxy's clients
-	shares string // UDP
-	status string
+	listen string // address for clients; proxies only
+	shares string // UDP address for the fleet's datagrams
+	status string // address of the status
 	cmd    *exec.Cmd
 	log    logBuffer
 }
 
-// logBuffer has a process's output, and may be read while that runs.
+// logBuffer collects a process's output. It may be read while the process runs.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -50,7 +50,7 @@
 	return b.text.String()
 }
 
-func (p *running) start(t *testing.T, binary string) {
+func (p *fleetProcess) start(t *testing.T, binary string) {
 	t.Helper()
 	p.cmd = exec.Command(binary, p.args...)
 	p.cmd.Stdout, p.cmd.Stderr = &p.log, &p.log
@@ -60,67 +60,70 @@
 	}
 }
 
-func (p *running) kill() {
+// kill kills the process, also a stopped one, and waits for its end.
+func (p *fleetProcess) kill() {
 	p.cmd.Process.Signal(syscall.SIGCONT)
 	p.cmd.Process.Kill()
 	p.cmd.Wait()
 }
 
-// open asks for sessions and keeps them.
-func (p *running) open(t *testing.T, n int, name string) (conns []net.Conn) {
+// open opens n sessions, which stay open until the test ends. The first 8 digits of their ids are idPrefix.
+func (p *fleetProcess) open(t *testing.T, n int, idPrefix string) (conns []net.Conn) {
 	t.Helper()
 	for i := range n {
-		var up string
-		for try := range 100 { // until it serves
+		var answer string
+		for try := range 100 { // until the proxy serves
 			conn, err := net.Dial("tcp", p.listen)
 			if err == nil {
 				conn.SetDeadline(time.Now().Add(2 * time.Second))
-				fmt.Fprintf(conn, "OPEN %s%04x%04x 00000000000000%02x c=chat,d=800\r\n", name, i, try, i)
-				up, _ = bufio.NewReader(conn).ReadString('\n')
-				if strings.HasPrefix(up, "UP ") {
+				fmt.Fprintf(conn, "OPEN %s%04x%04x 00000000000000%02x c=chat,d=800\r\n", idPrefix, i, try, i)
+				answer, _ = bufio.NewReader(conn).ReadString('\n')
+				if strings.HasPrefix(answer, "UP ") {
 					conns = append(conns, conn)
-					t.Cleanup(func() { conn.Close() }) // and it is held until then
+					t.Cleanup(func() { conn.Close() }) // also keeps the connection referenced, and so open, until then
 					break
 				}
 				conn.Close()
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		if !strings.HasPrefix(up, "UP ") {
-			t.Fatalf("session %d is answered %q\n%s", i, up, p.log.String())
+		if !strings.HasPrefix(answer, "UP ") {
+			t.Fatalf("session %d is answered %q\n%s", i, answer, p.log.String())
 		}
 	}
 	return conns
 }
 
-// home has no other sockets than this test's, so that nobody takes a port between its choice and its use.
-const home = "127.91.7.1"
+// loopbackAddress is used by these tests only, so that nothing else takes a port between its choice and its use.
+const loopbackAddress = "127.91.7.1"
 
-// given are the addresses that free has returned: the kernel may choose one again that nobody listens at yet.
-var given sync.Map
+// returnedAddresses holds the addresses that unusedAddress has returned: while nothing listens at one, the kernel may choose
+// it again.
+var returnedAddresses sync.Map
 
-// free is an address that nobody has and that was not returned before.
-func free(t *testing.T, network string) string {
+// unusedAddress returns an address that is not in use and was not returned before.
+func unusedAddress(t *testing.T, network string) string {
 	t.Helper()
 	for {
-		address := unusedAddress(t, network)
-		if _, isGiven := given.LoadOrStore(network+" "+address, true); !isGiven {
+		address := kernelChosenAddress(t, network)
+		if _, wasReturned := returnedAddresses.LoadOrStore(network+" "+address, true); !wasReturned {
 			return address
 		}
 	}
 }
 
-func unusedAddress(t *testing.T, network string) string {
+// kernelChosenAddress has the kernel choose a port and releases it again.
+func kernelChosenAddress(t *testing.T, network string) string {
 	t.Helper()
 	if network == "udp4" {
-		c, err := net.ListenPacket(network, home+":0")
+		c, err := net.ListenPacket(network, loopbackAddress+":0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		return c.LocalAddr().String()
 	}
-	l, err := net.Listen(network, home+":0")
+	l, err := net.Listen(network, loopbackAddress+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,7 +131,7 @@
 	return l.Addr().String()
 }
 
-// serveConns listens until the test ends, and has each connection handled and then closed.
+// serveConns accepts TCP connections until the test ends. Each has its own call of handle and is closed after it.
 func serveConns(t *testing.T, handle func(conn net.Conn)) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -151,8 +154,9 @@
 	return listener.Addr().String()
 }
 
-// platform is one server, and the list that names it.
-func platform(t *testing.T) (discovery string) {
+// startPlatform starts one server, which accepts every session, and a discovery service that lists it. It returns the
+// address of the discovery service.
+func startPlatform(t *testing.T) (discovery string) {
 	server := serveConns(t, func(conn net.Conn) {
 		for lines := bufio.NewScanner(conn); lines.Scan(); {
 			if strings.HasPrefix(lines.Text(), "OPEN ") {
@@ -161,29 +165,29 @@
 		}
 	})
 	list := fmt.Sprintf(`{"revision":1,"complete":true,"members":[{"id":"one","host_port":%q,"locality":"a","phase":"ready","size":1}]}`, server)
-	door, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { door.Close() })
-	go http.Serve(door, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	t.Cleanup(func() { listener.Close() })
+	go http.Serve(listener, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for fmt.Fprintln(w, list); r.URL.Query().Get("watch") == "1" && r.Context().Err() == nil; fmt.Fprintln(w) {
 			w.(http.Flusher).Flush()
 			time.Sleep(time.Second)
 		}
 	}))
-	return door.Addr().String()
+	return listener.Addr().String()
 }
 
-// build compiles the program as it ships.
-func build(t *testing.T, binary string) {
+// buildProgram compiles the program under test, without the test's own code.
+func buildProgram(t *testing.T, binary string) {
 	t.Helper()
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 }
 
-// Aggregators of a test's fleet: two regions, two in each.
+// Indexes of the aggregators of a test's fleet, two in each of two regions.
 const (
 	westA = iota
 	westB
@@ -195,44 +199,46 @@
 var (
 	aggregatorNames   = [aggregatorCount]string{"west-a", "west-b", "east-a", "east-b"}
 	aggregatorRegions = [aggregatorCount]string{"west", "west", "east", "east"}
-	// proxyRegions has proxies 0 and 1 in one region and 2 in the other.
+	// proxyRegions are the regions of the proxies by their index: 0 and 1 share one.
 	proxyRegions = [...]string{"west", "west", "east"}
 )
 
 const proxyCount = len(proxyRegions)
 
-// The times of a test's fleet.
+// Settings of a test's fleet. testSettings has the first two times as text of a TOML file.
 const (
 	testFreshness = 2 * time.Second
 	testDecay     = time.Second
 	testSettings  = "freshness = \"2s\"\ndecay = \"1s\"\n"
-	settleLimit   = 20 * time.Second // generous: nothing is judged by how fast it was
+	settleLimit   = 20 * time.Second // long, since the tests do not check how fast sums settle
 )
 
-// link joins a proxy and an aggregator, by one way in each direction. The aggregator sees the proxy at the address of
-// the link's socket and answers there.
-type link struct {
+// proxyLink connects a proxy and an aggregator by one simulated network link in each direction. The aggregator sees the
+// proxy at the address of the link's socket and answers there.
+type proxyLink struct {
 	up, down *udplink.Link
 
 	mu       sync.Mutex
 	recorded [][]byte // the proxy's latest datagrams
 }
 
+// recordedReports is how many of a proxy's latest datagrams are kept for a replay.
 const recordedReports = 64
 
-func openLink(t *testing.T, proxy, aggregator string, seed int64) *link {
+// openProxyLink starts a link between the UDP addresses of a proxy and an aggregator.
+func openProxyLink(t *testing.T, proxy, aggregator string, seed int64) *proxyLink {
 	t.Helper()
 	socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { socket.Close() })
-	l := &link{up: openWay(t, socket.LocalAddr().String(), seed), down: openWay(t, proxy, seed+1)}
+	l := &proxyLink{up: openWay(t, socket.LocalAddr().String(), seed), down: openWay(t, proxy, seed+1)}
 	down, err := net.ResolveUDPAddr("udp4", l.down.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	to := netip.MustParseAddrPort(aggregator)
+	aggregatorAddress := netip.MustParseAddrPort(aggregator)
 	go func() {
 		buffer := make([]byte, 1<<16)
 		for {
@@ -240,11 +246,11 @@
 			if err != nil {
 				return
 			}
-			if from == to {
-				socket.WriteToUDP(buffer[:n], down) // may be lost like any
+			if from == aggregatorAddress {
+				socket.WriteToUDP(buffer[:n], down) // an error counts as a lost datagram
 			} else {
 				l.record(buffer[:n])
-				socket.WriteToUDPAddrPort(buffer[:n], to)
+				socket.WriteToUDPAddrPort(buffer[:n], aggregatorAddress)
 			}
 		}
 	}()
@@ -261,15 +267,15 @@
 	return w
 }
 
-func (l *link) record(datagram []byte) {
+func (l *proxyLink) record(datagram []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recorded = append(l.recorded, bytes.Clone(datagram))
 	l.recorded = l.recorded[max(0, len(l.recorded)-recordedReports):]
 }
 
-// replay sends the proxy's latest datagrams once more, as if they were new.
-func (l *link) replay() {
+// replay sends the proxy's latest datagrams once more.
+func (l *proxyLink) replay() {
 	l.mu.Lock()
 	datagrams := slices.Clone(l.recorded)
 	l.mu.Unlock()
@@ -278,19 +284,20 @@
 	}
 }
 
-func (l *link) cut(isCut bool) {
+// cut drops all datagrams in both directions, or relays them again.
+func (l *proxyLink) cut(isCut bool) {
 	l.up.SetDown(isCut)
 	l.down.SetDown(isCut)
 }
 
-// testFleet is three proxies and four aggregators as processes, with links of the test's own between them.
+// testFleet runs three proxies and four aggregators as processes, with simulated network links between them.
 type testFleet struct {
 	t           *testing.T
 	binary      string
 	folder      string
-	aggregators [aggregatorCount]*running
-	proxies     [proxyCount]*running
-	links       [proxyCount][aggregatorCount]*link              // nil to the other region
+	aggregators [aggregatorCount]*fleetProcess
+	proxies     [proxyCount]*fleetProcess
+	links       [proxyCount][aggregatorCount]*proxyLink         // nil if the aggregator is in the other region
 	exchanges   [aggregatorCount][aggregatorCount]*udplink.Link // from, to
 }
 
@@ -298,17 +305,17 @@
 	t.Helper()
 	f := &testFleet{t: t, binary: binary, folder: t.TempDir()}
 	for i := range f.aggregators {
-		f.aggregators[i] = &running{shares: free(t, "udp4"), status: free(t, "tcp4")}
+		f.aggregators[i] = &fleetProcess{shares: unusedAddress(t, "udp4"), status: unusedAddress(t, "tcp4")}
 	}
 	for i := range f.proxies {
-		f.proxies[i] = &running{listen: free(t, "tcp4"), shares: free(t, "udp4"), status: free(t, "tcp4")}
+		f.proxies[i] = &fleetProcess{listen: unusedAddress(t, "tcp4"), shares: unusedAddress(t, "udp4"), status: unusedAddress(t, "tcp4")}
 	}
 	f.openExchanges()
 	f.openLinks()
 	for i := range f.aggregators {
 		f.startAggregator(i)
 	}
-	discovery := platform(t)
+	discovery := startPlatform(t)
 	for i := range f.proxies {
 		f.startProxy(i, discovery)
 	}
@@ -329,13 +336,13 @@
 	for i, proxy := range f.proxies {
 		for j, aggregator := range f.aggregators {
 			if proxyRegions[i] == aggregatorRegions[j] {
-				f.links[i][j] = openLink(f.t, proxy.shares, aggregator.shares, int64(20*i+2*j))
+				f.links[i][j] = openProxyLink(f.t, proxy.shares, aggregator.shares, int64(20*i+2*j))
 			}
 		}
 	}
 }
 
-// startAggregator writes an aggregator's file and starts it.
+// startAggregator writes an aggregator's TOML file and starts the process.
 func (f *testFleet) startAggregator(i int) {
 	f.t.Helper()
 	a := f.aggregators[i]
@@ -352,7 +359,7 @@
 	f.t.Cleanup(a.kill)
 }
 
-// startProxy writes a proxy's files and starts it.
+// startProxy writes a proxy's configuration and member file and starts the process.
 func (f *testFleet) startProxy(i int, discovery string) {
 	f.t.Helper()
 	p := f.proxies[i]
@@ -371,6 +378,7 @@
 	f.t.Cleanup(p.kill)
 }
 
+// write writes a file in the fleet's folder and returns its path.
 func (f *testFleet) write(name, text string) string {
 	f.t.Helper()
 	file := filepath.Join(f.folder, name)
@@ -380,7 +388,7 @@
 	return file
 }
 
-// eachWay calls back with every way there is.
+// eachWay calls a function with each simulated network link of the fleet.
 func (f *testFleet) eachWay(call func(*udplink.Link)) {
 	for i := range f.links {
 		for _, l := range f.links[i] {
@@ -399,7 +407,7 @@
 	}
 }
 
-// cutProxy cuts a proxy from all aggregators, or heals that.
+// cutProxy cuts a proxy off from all aggregators, or connects it again.
 func (f *testFleet) cutProxy(i int, isCut bool) {
 	for _, l := range f.links[i] {
 		if l != nil {
@@ -408,7 +416,7 @@
 	}
 }
 
-// cutRegions cuts the regions from each other, or heals that.
+// cutRegions cuts the regions off from each other, or connects them again.
 func (f *testFleet) cutRegions(isCut bool) {
 	for from := range f.exchanges {
 		for to, w := range f.exchanges[from] {
@@ -419,12 +427,13 @@
 	}
 }
 
-// memberStatus asks a proxy by the command, as an operator does.
+// memberStatus queries a proxy by the command fleet status, as an operator does.
 func (f *testFleet) memberStatus(i int) (s sharing.MemberStatus, ok bool) {
 	ok = f.readStatus(f.proxies[i].status, &s)
 	return s, ok
 }
 
+// aggregatorStatus queries an aggregator in the same way.
 func (f *testFleet) aggregatorStatus(i int) (s sharing.AggregatorProcessStatus, ok bool) {
 	ok = f.readStatus(f.aggregators[i].status, &s)
 	return s, ok
@@ -435,52 +444,52 @@
 	return err == nil && json.Unmarshal(out, into) == nil
 }
 
-// chat is the sum of the sessions of the one listener.
-func chat(sums []sharing.SumStatus) sharing.SumStatus {
-	at := slices.IndexFunc(sums, func(s sharing.SumStatus) bool { return s.Kind == "listener" && s.Name == "chat" })
-	if at < 0 {
+// findChat returns the sum of the sessions of the listener "chat", the only one; zero if there is none.
+func findChat(sums []sharing.SumStatus) sharing.SumStatus {
+	i := slices.IndexFunc(sums, func(s sharing.SumStatus) bool { return s.Kind == "listener" && s.Name == "chat" })
+	if i < 0 {
 		return sharing.SumStatus{}
 	}
-	return sums[at]
+	return sums[i]
 }
 
-// belief is what a proxy says of the sessions of the one listener; a value of -1 means that it does not answer.
-func (f *testFleet) belief(i int) sharing.SumStatus {
+// chatSum returns a proxy's sum of the sessions of the listener "chat", with Value -1 if the proxy does not answer.
+func (f *testFleet) chatSum(i int) sharing.SumStatus {
 	s, ok := f.memberStatus(i)
 	if !ok {
 		return sharing.SumStatus{Value: -1}
 	}
-	return chat(s.Sums)
+	return findChat(s.Sums)
 }
 
-// expect waits until the proxies have the sum.
+// expect waits until the proxies have the sum. After settleLimit the test fails.
 func (f *testFleet) expect(what string, want float64, proxies ...int) {
 	f.t.Helper()
-	f.expectBelief(what, func(s sharing.SumStatus) bool { return s.Value == want }, want, proxies)
+	f.expectSum(what, func(s sharing.SumStatus) bool { return s.Value == want }, want, proxies)
 }
 
-// expectWhole waits until the proxies have the sum, exactly and from all members.
+// expectWhole waits until the proxies have the sum without error and from all members.
 func (f *testFleet) expectWhole(what string, want float64, proxies ...int) {
 	f.t.Helper()
-	f.expectBelief(what, func(s sharing.SumStatus) bool { return s.Value == want && s.Error == 0 && s.Heard == 1 }, want, proxies)
+	f.expectSum(what, func(s sharing.SumStatus) bool { return s.Value == want && s.Error == 0 && s.Heard == 1 }, want, proxies)
 }
 
-// expectPart waits until the proxies have the sum of what they still hear, and say that it is not from all members.
+// expectPart waits until the proxies have the sum of the members that they still hear, and report that some are missing.
 func (f *testFleet) expectPart(what string, want float64, proxies ...int) {
 	f.t.Helper()
-	f.expectBelief(what, func(s sharing.SumStatus) bool { return s.Value == want && s.Heard < 1 }, want, proxies)
+	f.expectSum(what, func(s sharing.SumStatus) bool { return s.Value == want && s.Heard < 1 }, want, proxies)
 }
 
-func (f *testFleet) expectBelief(what string, isRight func(sharing.SumStatus) bool, want float64, proxies []int) {
+func (f *testFleet) expectSum(what string, isRight func(sharing.SumStatus) bool, want float64, proxies []int) {
 	f.t.Helper()
 	for until := time.Now().Add(settleLimit); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
-		if !slices.ContainsFunc(proxies, func(i int) bool { return !isRight(f.belief(i)) }) {
+		if !slices.ContainsFunc(proxies, func(i int) bool { return !isRight(f.chatSum(i)) }) {
 			return
 		}
 	}
 	for _, i := range proxies {
 		s, _ := f.memberStatus(i)
-		f.t.Errorf("%s: proxy %d has %+v, not %v: %+v", what, i, chat(s.Sums), want, s)
+		f.t.Errorf("%s: proxy %d has %+v, want %v; status %+v", what, i, findChat(s.Sums), want, s)
 	}
 	f.logAggregators()
 }
@@ -493,15 +502,15 @@
 	}
 }
 
-// hold looks at the proxies for a while, in which the truth does not change: no figure that says that it is from all
-// members may be off by more than its error, and none may ever be above the truth by more than that.
-func (f *testFleet) hold(what string, truth float64, span time.Duration, proxies ...int) {
+// hold checks the sums of the proxies for a while, in which the true sum does not change: one that covers all members must
+// not differ from it by more than its error, and no sum may exceed it by more than its error.
+func (f *testFleet) hold(what string, trueSum float64, span time.Duration, proxies ...int) {
 	f.t.Helper()
 	for until := time.Now().Add(span); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		for _, i := range proxies {
-			s := f.belief(i)
-			if s.Value < 0 || s.Error < 0 || s.Value > truth+s.Error || s.Heard == 1 && s.Value < truth-s.Error {
-				f.t.Errorf("%s: proxy %d has %+v, the truth is %v", what, i, s, truth)
+			s := f.chatSum(i)
+			if s.Value < 0 || s.Error < 0 || s.Value > trueSum+s.Error || s.Heard == 1 && s.Value < trueSum-s.Error {
+				f.t.Errorf("%s: proxy %d has %+v, the true sum is %v", what, i, s, trueSum)
 				return
 			}
 		}
--- a/cmd/chalkferry/load.go
+++ b/cmd/chalkferry/load.go
@@ -9,13 +9,13 @@
 	"chalkferry/internal/rehearse"
 )
 
-// loadCmd sends sessions at proxies that run already.
+// loadCmd sends sessions to proxies that are already running, on a fixed schedule.
 type loadCmd struct {
 	runFlags
 	traceFlags
-	Address  []string `arg:"" help:"Where proxies listen."`
-	Scenario string   `default:"calm" help:"Whose listeners, clients and arrivals are taken; the faults are not."`
-	JSON     string   `name:"json" help:"A file for the whole report."`
+	Address  []string `arg:"" help:"Addresses at which the proxies listen."`
+	Scenario string   `default:"calm" help:"Scenario whose listeners, clients and arrivals are used. Its faults are not injected."`
+	JSON     string   `name:"json" help:"Write the whole report to this JSON file."`
 }
 
 func (c *loadCmd) Run() error {
@@ -32,9 +32,9 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	r, err := rehearse.GenerateLoad(ctx, s, c.Address, progress())
+	r, err := rehearse.GenerateLoad(ctx, s, c.Address, progressWriter())
 	if err != nil {
 		return err
 	}
-	return report(r, c.JSON, "")
+	return printReport(r, c.JSON, "")
 }
--- a/cmd/chalkferry/process_faults_test.go
+++ b/cmd/chalkferry/process_faults_test.go
@@ -18,33 +18,33 @@
 	"chalkferry/internal/faultinject"
 )
 
-// served is one proxy as a process of this test's own program, with one server.
-type served struct {
+// proxyProcess is a proxy with one server that runs as a child process of this test's own program (see TestMain).
+type proxyProcess struct {
 	*testing.T
 	cmd    *exec.Cmd
-	file   string // its configuration
-	listen string
-	ended  chan error
+	file   string     // path of the configuration
+	listen string     // address for clients
+	ended  chan error // receives the result of Wait when the process ends
 
-	controller *faultinject.Controller // nil without a plan
+	controller *faultinject.Controller // nil without a fault plan
 
-	replace *strings.Replacer // parts of its configuration
+	replace *strings.Replacer // applied to the text of the configuration
 }
 
-// serveOne starts a proxy whose output goes to a file, nil for nowhere; plan may make its calls fail. Parts of the usual
-// configuration may be replaced.
-func serveOne(t *testing.T, output *os.File, plan *faultinject.Plan, replace ...string) *served {
+// startProxyProcess starts a proxy. Its log goes to output, or is dropped if that is nil. plan makes system calls of the proxy
+// fail; nil for none. replace holds pairs of an old and a new text for the configuration.
+func startProxyProcess(t *testing.T, output *os.File, plan *faultinject.Plan, replace ...string) *proxyProcess {
 	t.Helper()
-	s := &served{T: t, listen: freshAddress(t), file: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1),
+	s := &proxyProcess{T: t, listen: uniqueAddress(t), file: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1),
 		replace: strings.NewReplacer(replace...)}
-	s.configure(platform(t))
+	s.configure(startPlatform(t))
 	s.cmd = exec.Command(os.Args[0], "serve", s.file)
 	s.cmd.Stdout, s.cmd.Stderr = output, os.Stderr
 	if output != nil {
-		s.cmd.Stderr = output // a supervisor often gives both one pipe
+		s.cmd.Stderr = output // supervisors often use one pipe for both
 	}
 	s.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	// The race detector has a process sleep for 1 s as it ends; that is no time of the proxy's.
+	// The race detector delays the exit of a process by 1 s, which the limits of these tests do not allow for.
 	s.cmd.Env = append(os.Environ(), "GORACE=atexit_sleep_ms=0")
 	if plan != nil {
 		controller, err := faultinject.New(*plan)
@@ -63,12 +63,13 @@
 	return s
 }
 
-var addressesGiven, sessionsOpened atomic.Int64
+// addressCount counts the results of uniqueAddress, and sessionCount those of openLine. Both make them unique.
+var addressCount, sessionCount atomic.Int64
 
-// freshAddress is an address that no other socket takes: of its own loopback address for each call and process.
-func freshAddress(t *testing.T) string {
+// uniqueAddress returns an address that no other socket takes: each call in each process uses a loopback address of its own.
+func uniqueAddress(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 200+os.Getpid()>>8&31, os.Getpid()&255, 1+addressesGiven.Add(1)))
+	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 200+os.Getpid()>>8&31, os.Getpid()&255, 1+addressCount.Add(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,8 +77,8 @@
 	return l.Addr().String()
 }
 
-// configure writes the configuration with another discovery.
-func (s *served) configure(discovery string) {
+// configure writes the configuration with the address of a discovery service. A running proxy reads it at SIGHUP.
+func (s *proxyProcess) configure(discovery string) {
 	s.Helper()
 	text := s.replace.Replace(fmt.Sprintf(configuration, s.listen, discovery))
 	if err := os.WriteFile(s.file, []byte(text), 0o600); err != nil {
@@ -85,54 +86,55 @@
 	}
 }
 
-// ask sends a first line and returns what comes back, "" for nothing within the time.
-func (s *served) ask(line string, within time.Duration) (answer string) {
-	conn, err := net.DialTimeout("tcp", s.listen, within)
+// ask connects as a client, sends one line and returns the line that is answered, "" for none within the timeout.
+func (s *proxyProcess) ask(line string, timeout time.Duration) (answer string) {
+	conn, err := net.DialTimeout("tcp", s.listen, timeout)
 	if err != nil {
 		return ""
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(within))
+	conn.SetDeadline(time.Now().Add(timeout))
 	fmt.Fprint(conn, line)
 	answer, _ = bufio.NewReader(conn).ReadString('\n')
 	return answer
 }
 
-// awaitReady waits until PING is answered.
-func (s *served) awaitReady(within time.Duration) {
+// waitReady waits until the proxy answers PING.
+func (s *proxyProcess) waitReady(timeout time.Duration) {
 	s.Helper()
-	for limit := time.Now().Add(within); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if s.ask("PING\r\n", time.Second) == "PONG\r\n" {
 			return
 		}
 	}
-	s.Fatalf("the proxy does not serve after %v", within)
+	s.Fatalf("the proxy does not answer PING after %v", timeout)
 }
 
-// awaitSession waits until a session is accepted: the proxy has the list of servers by then.
-func (s *served) awaitSession(within time.Duration) {
+// waitSessionAccepted waits until a session is accepted, which shows that the proxy has the list of servers.
+func (s *proxyProcess) waitSessionAccepted(timeout time.Duration) {
 	s.Helper()
-	for limit := time.Now().Add(within); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
-		if strings.HasPrefix(s.ask(open(), time.Second), "UP ") {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if strings.HasPrefix(s.ask(openLine(), time.Second), "UP ") {
 			return
 		}
 	}
-	s.Fatalf("no session is accepted after %v", within)
+	s.Fatalf("no session is accepted after %v", timeout)
 }
 
-// open is the line that asks for a session with a new id.
-func open() string {
-	return fmt.Sprintf("OPEN %016x 0000000000000002 c=chat,d=800\r\n", sessionsOpened.Add(1))
+// openLine returns the line that requests a session, with a new id and a dial timeout of 800 ms.
+func openLine() string {
+	return fmt.Sprintf("OPEN %016x 0000000000000002 c=chat,d=800\r\n", sessionCount.Add(1))
 }
 
-// TestProcessFaults: what a process meets outside its sockets: series of signals, a log that is not read, a configuration
-// that can't be opened for a moment, a start in which calls fail.
+// TestProcessFaults guards against a proxy that hangs or exits for a cause outside its sockets: series of signals, a log that
+// nobody reads or whose reader is gone, a configuration that temporarily can't be opened, and system calls that fail
+// during the start.
 func TestProcessFaults(t *testing.T) {
 	t.Run("a series of SIGHUP, then SIGTERM", func(t *testing.T) {
-		var proxies []*served
+		var proxies []*proxyProcess
 		for range 6 {
-			s := serveOne(t, nil, nil)
-			s.awaitReady(10 * time.Second)
+			s := startProxyProcess(t, nil, nil)
+			s.waitReady(10 * time.Second)
 			proxies = append(proxies, s)
 		}
 		for _, s := range proxies {
@@ -141,40 +143,41 @@
 			}
 			s.cmd.Process.Signal(syscall.SIGTERM)
 		}
-		const killAfter = 800*time.Millisecond + 700*time.Millisecond // by the configuration's dial timeout
+		// A supervisor kills the process 700 ms and the configuration's dial timeout after SIGTERM.
+		const killAfter = 800*time.Millisecond + 700*time.Millisecond
 		limit := time.After(killAfter)
 		for i, s := range proxies {
 			select {
 			case <-s.ended:
 			case <-limit:
-				t.Fatalf("proxy %d goes on %v after SIGTERM", i, killAfter)
+				t.Fatalf("proxy %d still runs %v after SIGTERM", i, killAfter)
 			}
 		}
 	})
 	t.Run("a log whose reader has gone", func(t *testing.T) {
 		reader, writer := pipe(t)
-		s := serveOne(t, writer, nil)
+		s := startProxyProcess(t, writer, nil)
 		writer.Close()
-		s.awaitSession(10 * time.Second)
+		s.waitSessionAccepted(10 * time.Second)
 		reader.Close()
 		for range 20 {
-			if answer := s.ask(open(), 2*time.Second); !strings.HasPrefix(answer, "UP ") {
+			if answer := s.ask(openLine(), 2*time.Second); !strings.HasPrefix(answer, "UP ") {
 				t.Fatalf("a session is answered %q", answer)
 			}
 		}
 		select {
 		case err := <-s.ended:
-			t.Fatalf("the proxy ends with %v", err)
+			t.Fatalf("the proxy exits with %v", err)
 		default:
 		}
 	})
 	t.Run("a log that is not read", func(t *testing.T) {
 		_, writer := pipe(t)
-		s := serveOne(t, writer, nil)
+		s := startProxyProcess(t, writer, nil)
 		writer.Close()
-		s.awaitSession(10 * time.Second)
-		for i := range 1000 { // two lines each; a pipe holds 64 KiB
-			if answer := s.ask(open(), 2*time.Second); !strings.HasPrefix(answer, "UP ") {
+		s.waitSessionAccepted(10 * time.Second)
+		for i := range 1000 { // each logs two lines, together more than the 64 KiB that a pipe holds
+			if answer := s.ask(openLine(), 2*time.Second); !strings.HasPrefix(answer, "UP ") {
 				t.Fatalf("session %d is answered %q", i, answer)
 			}
 		}
@@ -182,25 +185,25 @@
 		select {
 		case <-s.ended:
 		case <-time.After(3 * time.Second):
-			t.Fatal("the proxy goes on after SIGTERM")
+			t.Fatal("the proxy still runs 3 s after SIGTERM")
 		}
 	})
 	t.Run("a configuration that can't be opened for a moment", func(t *testing.T) {
 		plan := &faultinject.Plan{Seed: 1, Faults: []faultinject.Fault{{Call: unix.SYS_OPENAT, Target: faultinject.OpenedConfig,
 			Errno: unix.EIO, Every: 1, From: time.Second, Max: 3}}}
-		s := serveOne(t, nil, plan)
-		s.awaitReady(10 * time.Second)
-		next, err := net.Listen("tcp", "127.0.0.1:0")
+		s := startProxyProcess(t, nil, plan)
+		s.waitReady(10 * time.Second)
+		newDiscovery, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer next.Close()
-		s.configure(next.Addr().String())
+		defer newDiscovery.Close()
+		s.configure(newDiscovery.Addr().String())
 		time.Sleep(1500 * time.Millisecond)
 		s.cmd.Process.Signal(syscall.SIGHUP)
-		next.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
-		if _, err := next.Accept(); err != nil {
-			t.Fatalf("the new discovery is not asked: %v", err)
+		newDiscovery.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
+		if _, err := newDiscovery.Accept(); err != nil {
+			t.Fatalf("the proxy does not connect to the new discovery service: %v", err)
 		}
 	})
 	t.Run("a start", func(t *testing.T) {
@@ -211,49 +214,49 @@
 			{Call: unix.SYS_LISTEN, Errno: unix.ENOBUFS, Every: 1, Max: 1},
 			{Call: unix.SYS_EPOLL_CTL, Target: faultinject.NotEventFD, Errno: unix.ENOMEM, Every: 1, Max: 3},
 		}}
-		s := serveOne(t, nil, plan)
-		s.awaitReady(5 * time.Second)
-		if answer := s.ask(open(), 2*time.Second); !strings.HasPrefix(answer, "UP ") && !strings.HasPrefix(answer, "BUSY") {
+		s := startProxyProcess(t, nil, plan)
+		s.waitReady(5 * time.Second)
+		if answer := s.ask(openLine(), 2*time.Second); !strings.HasPrefix(answer, "UP ") && !strings.HasPrefix(answer, "BUSY") {
 			t.Errorf("a session is answered %q", answer)
 		}
 	})
 }
 
-// TestLeavesWithQueue: accepting fails while a proxy leaves. What the kernel has taken by then is answered, though the proxy has
-// nothing else left to do.
+// TestLeavesWithQueue checks that a proxy which leaves while its accept calls fail does not exit before it has answered the
+// connections in the listen queue, even if it has no other work left.
 func TestLeavesWithQueue(t *testing.T) {
 	const (
 		failFrom = 2 * time.Second // since the process's start
 		failTo   = 2600 * time.Millisecond
 		leaveAt  = failFrom - 250*time.Millisecond
-		comeAt   = failFrom + 100*time.Millisecond // within the 0.4 s in which connections go on coming
+		comeAt   = failFrom + 100*time.Millisecond // within the 0.4 s after SIGTERM in which new connections may still arrive
 		clients  = 10
 	)
 	plan := &faultinject.Plan{Seed: 1, Faults: []faultinject.Fault{
 		{Call: unix.SYS_ACCEPT4, Errno: unix.ENFILE, Every: 1, From: failFrom, To: failTo}}}
 	began := time.Now()
-	s := serveOne(t, nil, plan, `"mode":"proxy"`, `"mode":"pass"`)
-	s.awaitSession(10 * time.Second)
+	s := startProxyProcess(t, nil, plan, `"mode":"proxy"`, `"mode":"pass"`)
+	s.waitSessionAccepted(10 * time.Second)
 	time.Sleep(time.Until(began.Add(leaveAt)))
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	time.Sleep(time.Until(began.Add(comeAt)))
 	answers := make(chan string, clients)
 	for range clients {
-		go func() { answers <- s.ask(open(), 2*time.Second) }()
+		go func() { answers <- s.ask(openLine(), 2*time.Second) }()
 	}
 	for range clients {
 		if answer := <-answers; answer == "" {
-			t.Error("a client that the kernel had taken is not answered")
+			t.Error("a client in the listen queue got no answer")
 		}
 	}
 	select {
 	case <-s.ended:
 	case <-time.After(2 * time.Second):
-		t.Error("the proxy goes on")
+		t.Error("the proxy does not exit")
 	}
 }
 
-// pipe is a pipe whose ends are closed with the test, if not before.
+// pipe returns a pipe whose ends are closed when the test ends, if not before.
 func pipe(t *testing.T) (reader, writer *os.File) {
 	t.Helper()
 	reader, writer, err := os.Pipe()
--- a/cmd/chalkferry/rehearse.go
+++ b/cmd/chalkferry/rehearse.go
@@ -16,10 +16,10 @@
 	"chalkferry/internal/trace"
 )
 
-// runFlags change a scenario's length and arrivals.
+// runFlags override a scenario's length and arrivals.
 type runFlags struct {
-	Length strict.Span `help:"In place of the scenario's; faults must still lie within."`
-	Rate   float64     `help:"Sessions a second, in place of the scenario's arrivals."`
+	Length strict.Span `help:"Length of the run, instead of the scenario's. All faults must lie within it."`
+	Rate   float64     `help:"Sessions a second, instead of the scenario's arrivals."`
 }
 
 func (f runFlags) apply(s *rehearse.Scenario) error {
@@ -34,11 +34,11 @@
 	return nil
 }
 
-// traceFlags replace a scenario's arrivals by a trace. They take precedence over a rate.
+// traceFlags replace a scenario's arrivals with a trace. They take precedence over runFlags.Rate.
 type traceFlags struct {
-	Trace string  `help:"A trace to replay, in place of the scenario's arrivals." type:"existingfile"`
-	Speed float64 `default:"1" help:"How many times as fast the trace passes, 1 to 100."`
-	Scale float64 `default:"1" help:"How many times as many sessions the trace has."`
+	Trace string  `help:"A trace to replay, instead of the scenario's arrivals." type:"existingfile"`
+	Speed float64 `default:"1" help:"Factor by which the trace is replayed faster, 1 to 100."`
+	Scale float64 `default:"1" help:"Factor by which the number of the trace's sessions is multiplied."`
 }
 
 func (f traceFlags) apply(s *rehearse.Scenario) error {
@@ -48,23 +48,23 @@
 	return s.Replay(f.Trace, f.Speed, f.Scale)
 }
 
-// rehearseCmd runs a scenario on the simulated platform.
+// rehearseCmd runs a scenario: real proxies with simulated clients, servers and discovery.
 type rehearseCmd struct {
 	runFlags
 	traceFlags
-	Scenario string  `arg:"" optional:"" default:"calm" help:"A built-in scenario's name, or a TOML file."`
-	Proxy    string  `help:"The program under test; this one without."`
-	Seed     int64   `help:"In place of the scenario's."`
-	JSON     string  `name:"json" help:"A file for the whole report."`
-	HTML     string  `name:"html" help:"A file for the report as a page with plots."`
-	Record   string  `help:"A file for a trace of what arrived."`
-	Logs     string  `help:"A folder that keeps the proxies' logs."`
-	Profiles string  `help:"A folder for profiles of the proxies' CPU."`
-	Direct   bool    `help:"Clients connect to the nodes, with no proxy between: what a line's way costs without one."`
-	Climb    float64 `help:"Raise the rate by this factor from run to run, until the p99 of the handshake has doubled."`
-	Steps    int     `default:"20" help:"Of a climb, at most."`
-	List     bool    `help:"Name the built-in scenarios and end."`
-	Check    bool    `help:"Read the scenario, say what is wrong with it, and start nothing."`
+	Scenario string  `arg:"" optional:"" default:"calm" help:"Name of a built-in scenario, or a TOML file."`
+	Proxy    string  `help:"The program under test; by default this one."`
+	Seed     int64   `help:"Random seed, instead of the scenario's."`
+	JSON     string  `name:"json" help:"Write the whole report to this JSON file."`
+	HTML     string  `name:"html" help:"Write the report with plots to this HTML file."`
+	Record   string  `help:"Write a trace of the scheduled arrivals to this file."`
+	Logs     string  `help:"Folder in which the proxies' logs are kept."`
+	Profiles string  `help:"Folder for CPU profiles of the proxies."`
+	Direct   bool    `help:"Connect the clients to the nodes directly, without a proxy, as a baseline for latency."`
+	Climb    float64 `help:"Search the capacity: raise the rate by this factor from run to run until the p99 of the handshake has doubled."`
+	Steps    int     `default:"20" help:"Maximum number of runs with --climb."`
+	List     bool    `help:"List the built-in scenarios and exit."`
+	Check    bool    `help:"Validate the scenario and exit."`
 }
 
 func (c *rehearseCmd) Run() error {
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	return report(r, c.JSON, c.HTML)
+	return printReport(r, c.JSON, c.HTML)
 }
 
 func listScenarios() error {
@@ -126,9 +126,9 @@
 	return s, c.traceFlags.apply(s)
 }
 
-// options are those of the run, with this program as the proxy where none is named.
+// options returns the options of the run and creates the folder for profiles. The proxy defaults to this program.
 func (c *rehearseCmd) options() (rehearse.Options, error) {
-	o := rehearse.Options{Proxy: c.Proxy, Progress: progress(), Logs: c.Logs, Profiles: c.Profiles, Direct: c.Direct}
+	o := rehearse.Options{Proxy: c.Proxy, Progress: progressWriter(), Logs: c.Logs, Profiles: c.Profiles, Direct: c.Direct}
 	if o.Proxy == "" {
 		self, err := os.Executable()
 		if err != nil {
@@ -149,57 +149,59 @@
 	return o, nil
 }
 
-// report prints a report, writes it to the files that are named, and returns the verdict.
-func report(r *rehearse.Report, json, html string) error {
+// printReport prints a report and writes it to the named files, "" for none. It returns errAlreadyReported if the run failed.
+func printReport(r *rehearse.Report, jsonFile, htmlFile string) error {
 	clearProgress()
 	r.Print(os.Stdout)
-	if json != "" {
-		if err := r.WriteJSON(json); err != nil {
+	if jsonFile != "" {
+		if err := r.WriteJSON(jsonFile); err != nil {
 			return err
 		}
 	}
-	if html != "" {
-		if err := r.WriteHTML(html); err != nil {
+	if htmlFile != "" {
+		if err := r.WriteHTML(htmlFile); err != nil {
 			return err
 		}
 	}
 	if !r.OK() {
-		return errVerdict
+		return errAlreadyReported
 	}
 	return nil
 }
 
+// climb runs the scenario at increasing rates until the proxies' capacity is reached, and prints that.
 func (c *rehearseCmd) climb(ctx context.Context, s *rehearse.Scenario, o rehearse.Options) error {
 	if c.Climb <= 1 || c.Rate <= 0 {
-		return fmt.Errorf("a climb needs a factor above 1 and a --rate to begin with")
+		return fmt.Errorf("--climb needs a factor above 1 and a --rate to start from")
 	}
 	o.Progress = nil
-	found, err := rehearse.FindCapacity(ctx, s, o, c.Rate, c.Climb, c.Steps, os.Stdout)
+	capacity, err := rehearse.FindCapacity(ctx, s, o, c.Rate, c.Climb, c.Steps, os.Stdout)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("carried %.0f sessions a second; %s\n", found.MaxRate, found.StopReason)
+	fmt.Printf("carried %.0f sessions a second; %s\n", capacity.MaxRate, capacity.StopReason)
 	if c.JSON != "" {
-		return found.WriteJSON(c.JSON)
+		return capacity.WriteJSON(c.JSON)
 	}
 	return nil
 }
 
-// progress is where the line about a run's progress goes, nil where there is no terminal.
-func progress() io.Writer {
+// progressWriter returns the writer for the line that shows a run's progress, nil if standard error is no terminal.
+func progressWriter() io.Writer {
 	if isatty.IsTerminal(os.Stderr.Fd()) {
 		return os.Stderr
 	}
 	return nil
 }
 
-// clearProgress clears that line.
+// clearProgress erases the line that shows a run's progress.
 func clearProgress() {
-	if to := progress(); to != nil {
-		fmt.Fprint(to, "\r\x1b[K")
+	if terminal := progressWriter(); terminal != nil {
+		fmt.Fprint(terminal, "\r\x1b[K")
 	}
 }
 
+// record writes the scheduled sessions to a trace.
 func (c *rehearseCmd) record(s *rehearse.Scenario) error {
 	sessions, err := s.Schedule()
 	if err != nil {
--- a/cmd/chalkferry/rehearse_test.go
+++ b/cmd/chalkferry/rehearse_test.go
@@ -13,8 +13,9 @@
 	"chalkferry/internal/trace"
 )
 
-// TestMain is also the proxy under test, and the aggregators and child processes of a scale run: they are the test's own
-// program. A proxy under faults executes itself once more, behind the filter.
+// TestMain runs the tests, or, if the arguments say so, the command of a child process: the proxies under test and the
+// aggregators and workers of a scale run are started from the test's own program. A proxy with injected faults executes
+// itself once more under a seccomp filter.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "serve" && faultinject.Enabled() {
 		fmt.Fprintln(os.Stderr, faultinject.Exec(os.Args[0], os.Args[1:]))
@@ -27,6 +28,8 @@
 	os.Exit(m.Run())
 }
 
+// runScenario runs a built-in scenario and checks its verdict, that all scheduled sessions were sent, and that each attempt
+// has exactly one result.
 func runScenario(t *testing.T, name, logs string) *rehearse.Report {
 	t.Helper()
 	s, err := rehearse.Load(name)
@@ -44,33 +47,33 @@
 	for _, text := range r.Failed {
 		t.Error(text)
 	}
-	for _, b := range r.Rules {
-		t.Error(b)
+	for _, violation := range r.Rules {
+		t.Error(violation)
 	}
 	if r.Sessions != int64(r.Scheduled) {
-		t.Errorf("%d of %d sessions were sent", r.Sessions, r.Scheduled)
+		t.Errorf("%d of %d scheduled sessions were sent", r.Sessions, r.Scheduled)
 	}
 	c := r.Clients
 	if sum := c.Accepted + c.Refused + c.Failed + c.ConnectionLost + c.Unanswered + c.NoProxy + c.Interrupted; sum != c.Attempts {
-		t.Errorf("%d tries, %d endings", c.Attempts, sum)
+		t.Errorf("%d attempts, %d results", c.Attempts, sum)
 	}
 	return r
 }
 
-// Three scenarios with seeded schedules; the verdict is by rules and counts alone.
+// The three scenarios below have seeded schedules. Their verdicts depend on rules and counts, not on speed.
 
-// A stall of 200 ms is in the p99 of the second it lies in, and the hang and the slow node break no rule. The proxies'
-// own logs give back the sessions.
+// TestStallNight checks that a stall of 200 ms shows in the p99 of the messages of its second, that a hanging and a slow node
+// break no rule, and that the proxies' logs contain the sessions.
 func TestStallNight(t *testing.T) {
 	t.Parallel()
 	logs := t.TempDir()
 	r := runScenario(t, "stall", logs)
-	for _, w := range r.MessageWindows {
-		if w.FromMs == 2000 && w.P99 < 100 {
-			t.Errorf("the stall of 200 ms is not seen in %+v", w)
+	for _, window := range r.MessageWindows {
+		if window.FromMs == 2000 && window.P99 < 100 {
+			t.Errorf("the stall of 200 ms does not show in %+v", window)
 		}
 	}
-	var all []trace.Session
+	var logged []trace.Session
 	for _, name := range []string{"n0.log", "n1.log"} {
 		file, err := os.Open(filepath.Join(logs, name))
 		if err != nil {
@@ -81,34 +84,36 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, sessions...)
+		logged = append(logged, sessions...)
 	}
 	refused := 0
-	for _, s := range all {
+	for _, s := range logged {
 		if s.Answer == "refused" {
 			refused++
 		}
 	}
-	if c := r.Clients; len(all) > int(c.Attempts) || int64(len(all)) < c.Attempts-int64(r.OpenAtEnd) ||
+	if c := r.Clients; len(logged) > int(c.Attempts) || int64(len(logged)) < c.Attempts-int64(r.OpenAtEnd) ||
 		int64(refused) < c.Refused || int64(refused) > c.Refused+c.Interrupted {
-		t.Errorf("%d sessions in the logs, %d refused; %d tries, %d refused, %d open when the proxies were killed", len(all), refused,
+		t.Errorf("%d sessions in the logs, %d refused; %d attempts, %d refused, %d open when the proxies were killed", len(logged), refused,
 			c.Attempts, c.Refused, r.OpenAtEnd)
 	}
 }
 
-// Bad clients by thousands cost no usual one anything, and the proxies keep to their descriptors.
+// TestBadClientsNight checks that thousands of bad clients do not affect the regular ones, and that the proxies stay within
+// their limit of descriptors.
 func TestBadClientsNight(t *testing.T) {
 	t.Parallel()
 	if r := runScenario(t, "bad-clients", ""); r.BadClients.Sent < 4000 {
-		t.Errorf("only %+v", r.BadClients)
+		t.Errorf("too few bad clients: %+v, want 4000 sent", r.BadClients)
 	}
 }
 
-// Nodes are added, others drain, and a proxy is killed as it leaves.
+// TestSurgeAndDrainNight adds nodes, drains others, and kills a proxy while it leaves. It checks that the proxy was restarted
+// and that sessions were moved.
 func TestSurgeAndDrainNight(t *testing.T) {
 	t.Parallel()
 	r := runScenario(t, "surge-and-drain", "")
 	if r.Proxies[0].Starts != 2 || r.Clients.Migrated == 0 {
-		t.Errorf("%d starts of the proxy that is killed, %d moves", r.Proxies[0].Starts, r.Clients.Migrated)
+		t.Errorf("%d starts of the killed proxy, want 2; %d sessions migrated, want some", r.Proxies[0].Starts, r.Clients.Migrated)
 	}
 }
--- a/cmd/chalkferry/scale.go
+++ b/cmd/chalkferry/scale.go
@@ -12,32 +12,34 @@
 	"chalkferry/internal/strict"
 )
 
-// commit is set by a build with -ldflags "-X main.commit=...": go build stamps no commit into a program that is built in
-// a git worktree.
+// commit is the commit that a report of a scale run names. It is set by a build with -ldflags "-X main.commit=...", because
+// go build records no commit in a program that is built in a git worktree.
 var commit string
 
+// scaleCmd measures the control work of a fleet. Hollow members take part in the fleet without clients and servers; many
+// of them share one process.
 type scaleCmd struct {
-	Scenario string      `arg:"" optional:"" help:"A TOML file; the default run without. Flags take precedence." type:"existingfile"`
-	Hollow   int         `help:"Members without clients and servers."`
-	Steps    []int       `help:"Numbers of hollow members, one run after the other."`
-	Real     int         `default:"-1" help:"Proxies with all parts."`
-	Regions  int         `help:"Regions of the fleet."`
-	Zones    int         `help:"Zones of the fleet."`
-	Servers  int         `help:"Servers in the list."`
-	Keys     int         `help:"Counts that each member holds."`
-	Workers  int         `help:"Processes that hold the hollow members."`
-	Settle   strict.Span `help:"At most, until all sums are right, before the first measurement."`
+	Scenario string      `arg:"" optional:"" help:"Scenario, a TOML file; by default a built-in one. Flags take precedence over its values." type:"existingfile"`
+	Hollow   int         `help:"Number of hollow members, which have no clients and servers."`
+	Steps    []int       `help:"Numbers of hollow members of several runs, one after the other."`
+	Real     int         `default:"-1" help:"Number of real proxies."`
+	Regions  int         `help:"Number of regions of the fleet."`
+	Zones    int         `help:"Number of zones of the fleet."`
+	Servers  int         `help:"Number of servers in the list."`
+	Keys     int         `help:"Number of counts that each member reports."`
+	Workers  int         `help:"Number of processes that run the hollow members."`
+	Settle   strict.Span `help:"Longest wait, before the first measurement, until all sums are right."`
 	For      strict.Span `name:"for" help:"How long to measure without changes."`
-	Trials   int         `default:"-1" help:"Changes of a count, and of the list."`
-	Timeout  strict.Span `help:"For a change to be known to all."`
-	Fault    []string    `help:"Kinds of faults, one after the other, in place of the scenario's."`
-	Ramp     strict.Span `help:"In which the members start."`
-	Seed     int64       `help:"Of what is drawn."`
-	JSON     string      `name:"json" help:"A file for the whole report."`
-	Check    bool        `help:"Say what is wrong with the scenario and what it would take, and start nothing."`
+	Trials   int         `default:"-1" help:"Number of changes of a count, and as many of the list, to measure."`
+	Timeout  strict.Span `help:"Longest wait until a change is known to all members."`
+	Fault    []string    `help:"Kinds of faults to inject one after the other, instead of the scenario's."`
+	Ramp     strict.Span `help:"Time over which the starts of the members are spread."`
+	Seed     int64       `help:"Random seed."`
+	JSON     string      `name:"json" help:"Write the whole report to this JSON file."`
+	Check    bool        `help:"Validate the scenario, print the resources that it needs, and exit."`
 }
 
-// scaleWorkerCmd is a child process of scale.
+// scaleWorkerCmd runs hollow members in a child process of the scale command, controlled over standard input and output.
 type scaleWorkerCmd struct{}
 
 func (c *scaleWorkerCmd) Run() error { return scale.RunWorker(os.Stdin, os.Stdout) }
@@ -48,7 +50,7 @@
 		return err
 	}
 	if c.Check {
-		return c.check(p)
+		return c.printNeeds(p)
 	}
 	program, err := os.Executable()
 	if err != nil {
@@ -56,7 +58,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	r, err := scale.Run(ctx, p, scale.Options{Program: program, WorkerArguments: []string{"scale-worker"}, Commit: commit, Progress: progress()})
+	r, err := scale.Run(ctx, p, scale.Options{Program: program, WorkerArguments: []string{"scale-worker"}, Commit: commit, Progress: progressWriter()})
 	clearProgress()
 	if err != nil {
 		return err
@@ -68,12 +70,12 @@
 		}
 	}
 	if !r.OK() {
-		return errVerdict
+		return errAlreadyReported
 	}
 	return nil
 }
 
-// plan reads the scenario and puts the flags in place of its values.
+// plan reads the scenario and overrides its values with the flags that are set.
 func (c *scaleCmd) plan() (*scale.Plan, error) {
 	p := scale.DefaultPlan()
 	if c.Scenario != "" {
@@ -83,19 +85,19 @@
 		}
 	}
 	for _, flag := range []struct {
-		value int
-		to    *int
+		value  int
+		target *int
 	}{{c.Hollow, &p.Hollow}, {c.Regions, &p.Regions}, {c.Zones, &p.Zones}, {c.Servers, &p.Servers}, {c.Keys, &p.Keys}, {c.Workers, &p.Workers}} {
 		if flag.value != 0 {
-			*flag.to = flag.value
+			*flag.target = flag.value
 		}
 	}
 	for _, flag := range []struct {
-		value strict.Span
-		to    *strict.Span
+		value  strict.Span
+		target *strict.Span
 	}{{c.Ramp, &p.Ramp}, {c.Settle, &p.Settle}, {c.For, &p.For}, {c.Timeout, &p.Timeout}} {
 		if flag.value != 0 {
-			*flag.to = flag.value
+			*flag.target = flag.value
 		}
 	}
 	if c.Hollow != 0 {
@@ -126,7 +128,8 @@
 	return p, p.Check(&strict.File{Name: p.Name})
 }
 
-func (c *scaleCmd) check(p *scale.Plan) error {
+// printNeeds prints the resources that each run needs. It returns an error if a run does not fit on this machine.
+func (c *scaleCmd) printNeeds(p *scale.Plan) error {
 	machine, err := scale.ThisMachine()
 	if err != nil {
 		return err
--- a/cmd/chalkferry/scripted_platform_test.go
+++ b/cmd/chalkferry/scripted_platform_test.go
@@ -14,50 +14,52 @@
 	"time"
 )
 
-// firstScriptedRevision is above that of the list that a proxy starts with.
+// firstScriptedRevision is the revision of the first scripted list. It is above that of the list that a proxy starts with,
+// which startPlatform serves, so that the proxy applies it.
 const firstScriptedRevision = 100
 
-// platformPatience is how long a proxy may take to use a scripted platform.
-const platformPatience = 10 * time.Second
+// platformTimeout is how long a proxy may take to become ready and to use the scripted platform.
+const platformTimeout = 10 * time.Second
 
-// scriptedPlatform is a proxy's servers and discovery, which a test changes as it goes on.
+// scriptedPlatform holds the servers and the discovery service of one proxy. A test changes them while the proxy runs.
 type scriptedPlatform struct {
 	*testing.T
-	proxy *served
+	proxy *proxyProcess
 
 	mu       sync.Mutex
 	revision int
-	members  map[string]string   // of the list, by id
-	changed  chan struct{}       // closed with the next change of the list
-	opened   map[string][]string // the sessions that each server was asked for
-	isSilent map[string]bool     // of servers that answer nothing
+	members  map[string]string   // JSON entries of the list, by server id
+	changed  chan struct{}       // closed at the next change of the list
+	opened   map[string][]string // ids of the sessions that each server was sent
+	isSilent map[string]bool     // servers that answer nothing
 }
 
-// startScripted starts a proxy whose only server is called "one". Parts of the proxy's usual configuration may be replaced.
+// startScripted starts a proxy with one server, "one", and returns once the proxy dials it. replace holds pairs of an old and
+// a new text for the configuration.
 func startScripted(t *testing.T, replace ...string) *scriptedPlatform {
 	t.Helper()
 	p := &scriptedPlatform{T: t, revision: firstScriptedRevision, members: map[string]string{}, changed: make(chan struct{}),
 		opened: map[string][]string{}, isSilent: map[string]bool{}}
-	door, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { door.Close() })
-	go http.Serve(door, http.HandlerFunc(p.watch))
-	p.proxy = serveOne(t, nil, nil, replace...)
-	p.proxy.awaitReady(platformPatience)
+	t.Cleanup(func() { listener.Close() })
+	go http.Serve(listener, http.HandlerFunc(p.watch))
+	p.proxy = startProxyProcess(t, nil, nil, replace...)
+	p.proxy.waitReady(platformTimeout)
 	p.addServer("one")
-	p.proxy.configure(door.Addr().String())
+	p.proxy.configure(listener.Addr().String())
 	p.proxy.cmd.Process.Signal(syscall.SIGHUP)
-	for limit := time.Now().Add(platformPatience); len(p.sessionsAt("one")) == 0; time.Sleep(20 * time.Millisecond) {
-		if p.proxy.ask(open(), time.Second); time.Now().After(limit) {
-			t.Fatal("the proxy does not use the server")
+	for deadline := time.Now().Add(platformTimeout); len(p.sessionsAt("one")) == 0; time.Sleep(20 * time.Millisecond) {
+		if p.proxy.ask(openLine(), time.Second); time.Now().After(deadline) {
+			t.Fatal("the proxy does not dial the server")
 		}
 	}
 	return p
 }
 
-// watch sends the list at each change, and empty lines between.
+// watch answers a request to discovery: the list now and after each change, and an empty line as a heartbeat.
 func (p *scriptedPlatform) watch(w http.ResponseWriter, r *http.Request) {
 	const heartbeat = 500 * time.Millisecond
 	text, changed := p.list()
@@ -74,7 +76,7 @@
 	}
 }
 
-// list is the whole list, and a channel that is closed with the next one.
+// list returns the whole list as JSON, and a channel that is closed at its next change.
 func (p *scriptedPlatform) list() (text string, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +84,7 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, p.revision, strings.Join(members, ",")), p.changed
 }
 
-// setMember lists a server.
+// setMember adds or replaces a server's entry in the list, and publishes the list.
 func (p *scriptedPlatform) setMember(id, address, phase string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,6 +102,7 @@
 	return address
 }
 
+// serve answers as a server: it accepts each session, unless the server is silent.
 func (p *scriptedPlatform) serve(id string, conn net.Conn) {
 	for lines := bufio.NewScanner(conn); lines.Scan(); {
 		words := strings.Fields(lines.Text())
@@ -116,40 +119,40 @@
 	}
 }
 
-// silence has a server answer nothing from now on.
+// silence makes a server stop answering new sessions.
 func (p *scriptedPlatform) silence(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.isSilent[id] = true
 }
 
-// sessionsAt are the sessions that a server was asked for so far.
+// sessionsAt returns the ids of the sessions that a server was sent so far.
 func (p *scriptedPlatform) sessionsAt(id string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.opened[id])
 }
 
-// askForSessions connects clients which each ask for a session, with a dial timeout.
-func (p *scriptedPlatform) askForSessions(count int, dialTimeout time.Duration) (conns []net.Conn) {
+// requestSessions connects clients that each request a session with a dial timeout, and does not wait for answers.
+func (p *scriptedPlatform) requestSessions(count int, dialTimeout time.Duration) (conns []net.Conn) {
 	p.Helper()
 	for range count {
-		conn, err := net.DialTimeout("tcp", p.proxy.listen, platformPatience)
+		conn, err := net.DialTimeout("tcp", p.proxy.listen, platformTimeout)
 		if err != nil {
 			p.Fatal(err)
 		}
 		p.Cleanup(func() { conn.Close() })
-		fmt.Fprint(conn, strings.Replace(open(), "d=800", fmt.Sprintf("d=%d", dialTimeout.Milliseconds()), 1))
+		fmt.Fprint(conn, strings.Replace(openLine(), "d=800", fmt.Sprintf("d=%d", dialTimeout.Milliseconds()), 1))
 		conns = append(conns, conn)
 	}
 	return conns
 }
 
-// answers counts the next lines that clients get by their first words, "" for none within the time.
-func answers(conns []net.Conn, within time.Duration) map[string]int {
-	limit, counts := time.Now().Add(within), map[string]int{}
+// countAnswers reads the next line of each client and counts the lines by their first word, "" for none within the timeout.
+func countAnswers(conns []net.Conn, timeout time.Duration) map[string]int {
+	deadline, counts := time.Now().Add(timeout), map[string]int{}
 	for _, conn := range conns {
-		conn.SetReadDeadline(limit)
+		conn.SetReadDeadline(deadline)
 		line, _ := bufio.NewReader(conn).ReadString('\n')
 		word, _, _ := strings.Cut(strings.TrimSpace(line), " ")
 		counts[word]++
@@ -157,11 +160,12 @@
 	return counts
 }
 
-// lastWords counts the first words of the last lines that clients get before their connections end or the time is over.
-func lastWords(conns []net.Conn, within time.Duration) map[string]int {
-	limit, counts := time.Now().Add(within), map[string]int{}
+// countLastWords reads all lines of each client until its connection ends or the timeout passes, and counts the last lines by
+// their first word, "" for none.
+func countLastWords(conns []net.Conn, timeout time.Duration) map[string]int {
+	deadline, counts := time.Now().Add(timeout), map[string]int{}
 	for _, conn := range conns {
-		conn.SetReadDeadline(limit)
+		conn.SetReadDeadline(deadline)
 		word := ""
 		for lines := bufio.NewScanner(conn); lines.Scan(); {
 			word, _, _ = strings.Cut(lines.Text(), " ")
--- a/cmd/chalkferry/serve.go
+++ b/cmd/chalkferry/serve.go
@@ -18,32 +18,34 @@
 )
 
 const (
-	// startPatience is how long a start goes on trying calls that fail for a moment.
-	startPatience = 10 * time.Second
-	// logPatience is how long the end of the process waits for the log's reader.
-	logPatience = 100 * time.Millisecond
+	// startRetryLimit is how long calls that fail temporarily are retried during a start.
+	startRetryLimit = 10 * time.Second
+	// logFlushTimeout is how long the process waits at its end until the log is written. A slow reader must not delay it more.
+	logFlushTimeout = 100 * time.Millisecond
 )
 
+// serveCmd runs the proxy.
 type serveCmd struct {
-	File    string `arg:"" optional:"" name:"configuration" env:"RELAY_CONFIG" help:"The configuration, a JSON file."`
-	Profile string `help:"A file for a profile of the CPU, written when the proxy ends in good order."`
-	Fleet   string `help:"A TOML file: report what this proxy holds to the aggregators that it names. Off without it."`
-	Level   string `default:"info" enum:"debug,info,warn,error" help:"Least level of what is logged."`
+	File    string `arg:"" optional:"" name:"configuration" env:"RELAY_CONFIG" help:"Configuration of the proxy, a JSON file."`
+	Profile string `help:"Write a CPU profile to this file when the proxy exits normally."`
+	Fleet   string `help:"A TOML file: report this proxy's counts to the aggregators that it names. Without it nothing is reported."`
+	Level   string `default:"info" enum:"debug,info,warn,error" help:"Lowest level that is logged."`
 }
 
-func init() { zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00" } // a trace of the log needs more than seconds
+// A trace that is made from a log needs times in milliseconds; the default of zerolog has seconds.
+func init() { zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00" }
 
 func (c *serveCmd) Run() error {
-	signals := notifySignals() // before all else: SIGHUP would end a process that does not ask for it
+	signals := subscribeSignals() // first of all: until then SIGHUP would end the process
 	level, err := zerolog.ParseLevel(c.Level)
 	if err != nil {
 		return err
 	}
 	output := asynclog.New(os.Stdout)
-	defer output.Close(logPatience)
+	defer output.Close(logFlushTimeout)
 	log := output.Logger(level)
 	failures := failure.NewLog(log)
-	text, err := readStart(c.File, failures)
+	text, err := readStartConfiguration(c.File, failures)
 	if err != nil {
 		return err
 	}
@@ -51,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	if c.Fleet != "" { // nothing else turns it on
+	if c.Fleet != "" { // no setting or environment variable enables sharing
 		member, err := startMember(c.Fleet, log, failures)
 		if err != nil {
 			return err
@@ -59,8 +61,8 @@
 		defer member.Close()
 		p.Share(member.Publish)
 	}
-	ctx, end := context.WithCancel(context.Background()) // nothing is done for a proxy that has ended
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background()) // signals are not handled after the proxy has ended
+	defer cancel()
 	go signals.handle(ctx, p, c.File, log, failures)
 	if c.Profile != "" {
 		stop, err := startProfile(c.Profile)
@@ -72,39 +74,42 @@
 	return p.Run()
 }
 
-// readStart reads the configuration at the start, for a while if that fails for a moment.
-func readStart(file string, failures *failure.Log) (text []byte, err error) {
-	err = failure.RetryFor(startPatience, failure.OpenFile, failures, func() (err error) {
+// readStartConfiguration reads the configuration at the start. Temporary failures are retried up to startRetryLimit.
+func readStartConfiguration(file string, failures *failure.Log) (text []byte, err error) {
+	err = failure.RetryFor(startRetryLimit, failure.OpenFile, failures, func() (err error) {
 		text, err = readConfiguration(file)
 		return err
 	})
 	return text, err
 }
 
+// readConfiguration reads the configuration. An empty name is an error.
 func readConfiguration(file string) ([]byte, error) {
 	if file == "" {
-		return nil, fmt.Errorf("no configuration: name a file, or set RELAY_CONFIG")
+		return nil, fmt.Errorf("no configuration: name a file or set RELAY_CONFIG")
 	}
 	return os.ReadFile(file)
 }
 
+// startMember reads the TOML file of --fleet and starts the reports to the aggregators. Temporary failures are retried, each
+// up to startRetryLimit.
 func startMember(file string, log zerolog.Logger, failures *failure.Log) (member *sharing.Member, err error) {
 	var config *sharing.MemberConfig
-	err = failure.RetryFor(startPatience, failure.OpenFile, failures, func() (err error) {
+	err = failure.RetryFor(startRetryLimit, failure.OpenFile, failures, func() (err error) {
 		config, err = sharing.ReadMember(file)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	err = failure.RetryFor(startPatience, failure.Listen, failures, func() (err error) {
+	err = failure.RetryFor(startRetryLimit, failure.Listen, failures, func() (err error) {
 		member, err = sharing.StartMember(*config, log)
 		return err
 	})
 	return member, err
 }
 
-// startProfile begins a profile of the CPU, which stop ends.
+// startProfile starts a CPU profile; stop ends it and closes the file.
 func startProfile(name string) (stop func(), err error) {
 	file, err := os.Create(name)
 	if err != nil {
@@ -120,28 +125,30 @@
 	}, nil
 }
 
-// processSignals are the signals of a proxy's process. Each kind has a channel of its own, so that no number of one drops
-// the other. One that finds its channel full is covered by the one that waits there.
+// processSignals receives the signals of a proxy's process. Each kind has a channel of its own, so that many signals of one
+// kind can't displace one of the other. A signal that arrives while its channel is full is dropped; the one that waits
+// there has the same effect.
 type processSignals struct {
-	leave  chan os.Signal
-	reload chan os.Signal
+	terminate chan os.Signal // SIGTERM and SIGINT
+	reload    chan os.Signal // SIGHUP
 }
 
-func notifySignals() processSignals {
-	s := processSignals{leave: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
-	signal.Notify(s.leave, syscall.SIGTERM, syscall.SIGINT)
+// subscribeSignals starts to receive the signals.
+func subscribeSignals() processSignals {
+	s := processSignals{terminate: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
+	signal.Notify(s.terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reload, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // of a log whose reader has gone
+	signal.Ignore(syscall.SIGPIPE) // a log whose reader has closed the pipe must not end the process
 	return s
 }
 
-// handle carries the signals out until the context is done. A reload may wait for the event loop, or for a file; leaving
-// waits for neither.
+// handle acts on the signals until the context is done. Termination has a goroutine of its own, since a reload may wait
+// for the event loop or for a file.
 func (s processSignals) handle(ctx context.Context, p *proxy.Proxy, file string, log zerolog.Logger, failures *failure.Log) {
 	go func() {
 		for {
 			select {
-			case sig := <-s.leave:
+			case sig := <-s.terminate:
 				log.Info().Stringer("signal", sig).Msg("signal")
 				p.Leave()
 			case <-ctx.Done():
@@ -153,18 +160,19 @@
 		select {
 		case sig := <-s.reload:
 			log.Info().Stringer("signal", sig).Msg("signal")
-			s.reloadUntilTaken(ctx, p, file, log, failures)
+			s.reloadUntilApplied(ctx, p, file, log, failures)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// reloadUntilTaken reads the configuration and has the proxy take it, again and again while that fails for a moment.
-func (s processSignals) reloadUntilTaken(ctx context.Context, p *proxy.Proxy, file string, log zerolog.Logger,
+// reloadUntilApplied reads the configuration and applies it to the proxy. Temporary failures are retried until the context is
+// done.
+func (s processSignals) reloadUntilApplied(ctx context.Context, p *proxy.Proxy, file string, log zerolog.Logger,
 	failures *failure.Log) {
 	err := failure.Retry(ctx, failure.OpenFile, failures, func() error {
-		text, err := readConfiguration(file) // anew each time: it may have been replaced meanwhile
+		text, err := readConfiguration(file) // for each attempt: the file may have been replaced meanwhile
 		if err != nil {
 			return err
 		}
--- a/cmd/chalkferry/soak_test.go
+++ b/cmd/chalkferry/soak_test.go
@@ -18,24 +18,26 @@
 var (
 	soakFirst = flag.Int64("soak.first", 1, "the first seed of TestSoak")
 	soakSeeds = flag.Int64("soak.seeds", 5, "how many seeds TestSoak runs, one after the other")
-	soakLogs  = flag.String("soak.logs", "", "a folder that keeps the proxies' logs by seed")
+	soakLogs  = flag.String("soak.logs", "", "a folder in which the proxies' logs are kept, by seed")
 )
 
-// soakDraw draws one run.
+// soakDraw draws the scenario and the faults of one run from a seed. The order and number of draws must not change: a seed
+// would give another run.
 type soakDraw struct {
 	*rand.Rand
-	text strings.Builder
+	text strings.Builder // the scenario, TOML
 }
 
+// write adds a line to the scenario.
 func (d *soakDraw) write(format string, args ...any) { fmt.Fprintf(&d.text, format+"\n", args...) }
 
-// chance reports true in one of n draws.
+// chance returns true with probability 1/n.
 func (d *soakDraw) chance(n int) bool { return d.Intn(n) == 0 }
 
-// event writes one entry of the timeline.
-func (d *soakDraw) event(kind string, atMs int, more ...string) {
+// event adds a fault of the scenario at a time since its start; settings are further lines of the entry.
+func (d *soakDraw) event(kind string, atMs int, settings ...string) {
 	d.write("[[fault]]\nkind = %q\nat = \"%dms\"", kind, atMs)
-	for _, line := range more {
+	for _, line := range settings {
 		d.write("%s", line)
 	}
 }
@@ -43,12 +45,12 @@
 // Times of a soak run, in milliseconds.
 const (
 	soakLengthMs = 7000
-	soakSettleMs = 1000
-	soakBusyMs   = 2500 // until when what happens beside restarts begins
+	soakSettleMs = 1000 // after the length, for open sessions to end
+	soakBusyMs   = 2500 // width of the range from which the start times of events are drawn
 )
 
-// scenario draws the platform, the clients and the timeline. Proxies are told to end and are killed as early as the protocol
-// page allows, while clients go on using open connections.
+// scenario draws the platform, the clients and the events. Proxies are terminated and then killed at the earliest time that
+// the protocol allows, while clients go on using open connections.
 func (d *soakDraw) scenario(t *testing.T, seed int64) *rehearse.Scenario {
 	t.Helper()
 	proxies, isCrowded := 2+d.Intn(3), d.chance(3)
@@ -67,7 +69,7 @@
 		500+d.Intn(9500), 600+d.Intn(1000), effects[d.Intn(len(effects))])
 	d.write("[[arrivals]]\nshape = \"poisson\"\nrate = %d", 15+d.Intn(25))
 	d.signals(proxies)
-	d.trouble(isCrowded)
+	d.platformFaults(isCrowded)
 	s, err := rehearse.Parse(fmt.Sprintf("soak-%d.toml", seed), []byte(d.text.String()))
 	if err != nil {
 		t.Fatalf("seed %d: %v\n%s", seed, err, d.text.String())
@@ -75,13 +77,13 @@
 	return s
 }
 
-// signals draws series of SIGHUP, and planned restarts with SIGHUP around them.
+// signals draws series of SIGHUP, and planned restarts of proxies with SIGHUP before and after.
 func (d *soakDraw) signals(proxies int) {
 	for p := range proxies {
-		at := 200 + d.Intn(soakBusyMs)
-		for range d.Intn(12) { // some milliseconds apart, and at once
-			d.event("proxy-reload", at, fmt.Sprintf("proxies = [%d]", p))
-			at += d.Intn(3) * d.Intn(20)
+		atMs := 200 + d.Intn(soakBusyMs)
+		for range d.Intn(12) { // at the same time or some milliseconds apart
+			d.event("proxy-reload", atMs, fmt.Sprintf("proxies = [%d]", p))
+			atMs += d.Intn(3) * d.Intn(20)
 		}
 	}
 	if d.chance(3) {
@@ -89,36 +91,36 @@
 		return
 	}
 	for p := range 1 + d.Intn(proxies) {
-		at := 500 + d.Intn(soakBusyMs)
+		atMs := 500 + d.Intn(soakBusyMs)
 		for range d.Intn(5) {
-			d.event("proxy-reload", at, fmt.Sprintf("proxies = [%d]", p))
+			d.event("proxy-reload", atMs, fmt.Sprintf("proxies = [%d]", p))
 		}
-		d.event("proxy-leave", at, fmt.Sprintf("proxies = [%d]", p), "for = \"100ms\"")
+		d.event("proxy-leave", atMs, fmt.Sprintf("proxies = [%d]", p), "for = \"100ms\"")
 		if d.chance(2) {
-			d.event("proxy-reload", at+d.Intn(600), fmt.Sprintf("proxies = [%d]", p))
+			d.event("proxy-reload", atMs+d.Intn(600), fmt.Sprintf("proxies = [%d]", p))
 		}
 	}
 }
 
-// trouble draws what goes wrong at servers, discovery and other clients.
-func (d *soakDraw) trouble(isCrowded bool) {
-	at := func() int { return 300 + d.Intn(soakBusyMs) }
+// platformFaults draws faults of servers, discovery and clients, and a crowd of bad clients if isCrowded.
+func (d *soakDraw) platformFaults(isCrowded bool) {
+	drawMs := func() int { return 300 + d.Intn(soakBusyMs) }
 	if isCrowded {
-		d.event("silent-clients", at(), "for = \"2s\"", fmt.Sprintf("count = %d", 300+d.Intn(900)))
-		d.event("bad-clients", at(), "for = \"2s\"", fmt.Sprintf("count = %d", 50+d.Intn(250)))
+		d.event("silent-clients", drawMs(), "for = \"2s\"", fmt.Sprintf("count = %d", 300+d.Intn(900)))
+		d.event("bad-clients", drawMs(), "for = \"2s\"", fmt.Sprintf("count = %d", 50+d.Intn(250)))
 	}
 	for _, draw := range []func(){
-		func() { d.event("hang", at(), "for = \"2s\"", "nodes = [0]") },
-		func() { d.event("kill", at(), "for = \"1s\"", "nodes = [1]") },
+		func() { d.event("hang", drawMs(), "for = \"2s\"", "nodes = [0]") },
+		func() { d.event("kill", drawMs(), "for = \"1s\"", "nodes = [1]") },
 		func() {
-			d.event("drain", at(), "for = \"2s\"", "nodes = [2]", fmt.Sprintf("at_once = %t", d.chance(2)))
+			d.event("drain", drawMs(), "for = \"2s\"", "nodes = [2]", fmt.Sprintf("at_once = %t", d.chance(2)))
 		},
-		func() { d.event("vanish", at(), "for = \"2s\"", "nodes = [3]") },
-		func() { d.event("add", at(), "count = 2") },
-		func() { d.event("list-down", at(), "for = \"1s\"") },
-		func() { d.event("list-cut", at(), "for = \"500ms\"") },
-		func() { d.event("list-moved", at()) },
-		func() { d.event("clients-drop", at(), "share = 0.3") },
+		func() { d.event("vanish", drawMs(), "for = \"2s\"", "nodes = [3]") },
+		func() { d.event("add", drawMs(), "count = 2") },
+		func() { d.event("list-down", drawMs(), "for = \"1s\"") },
+		func() { d.event("list-cut", drawMs(), "for = \"500ms\"") },
+		func() { d.event("list-moved", drawMs()) },
+		func() { d.event("clients-drop", drawMs(), "share = 0.3") },
 	} {
 		if d.chance(4) {
 			draw()
@@ -126,7 +128,7 @@
 	}
 }
 
-// plan draws what fails in each proxy.
+// plan draws the system calls that fail in each proxy.
 func (d *soakDraw) plan(seed int64) faultinject.Plan {
 	plan := faultinject.Plan{Seed: seed}
 	for _, f := range soakFaults {
@@ -142,7 +144,7 @@
 	return plan
 }
 
-// outage draws a span in which each call of a kind fails: what the kernel reports comes again and again meanwhile.
+// outage draws a span of time in which every call of one kind fails, while the kernel goes on reporting what the call is for.
 func (d *soakDraw) outage() faultinject.Fault {
 	f := soakOutages[d.Intn(len(soakOutages))]
 	f.Every, f.Run = 1, 1
@@ -151,7 +153,7 @@
 	return f
 }
 
-// soakOutages are the calls that may fail each time for a while.
+// soakOutages are the faults from which outage draws.
 var soakOutages = []faultinject.Fault{
 	{Call: unix.SYS_ACCEPT4, Errno: unix.ENFILE},
 	{Call: unix.SYS_READ, Target: faultinject.Socket, Errno: unix.ENOMEM},
@@ -163,7 +165,7 @@
 	{Call: unix.SYS_GETSOCKOPT, Target: faultinject.Socket, Errno: unix.ENOBUFS},
 }
 
-// soakFaults are what TestSoak draws from, each at its most frequent.
+// soakFaults are the faults from which plan draws, each with its highest frequency.
 var soakFaults = []faultinject.Fault{
 	{Call: unix.SYS_ACCEPT4, Errno: unix.ENFILE, Every: 10}, {Call: unix.SYS_ACCEPT4, Errno: unix.EMFILE, Every: 10},
 	{Call: unix.SYS_ACCEPT4, Errno: unix.ECONNABORTED, Every: 10}, {Call: unix.SYS_ACCEPT4, Errno: unix.ENOBUFS, Every: 10},
@@ -200,8 +202,8 @@
 	{Call: unix.SYS_MADVISE, Errno: unix.ENOMEM, Every: 5},
 }
 
-// TestSoak runs drawn scenarios under drawn faults, with signals in series and, in some, a crowd: whatever meets, no rule is
-// broken and no proxy ends by itself. More seeds are run by hand:
+// TestSoak runs random scenarios with random faults of system calls, series of signals and, in some, a crowd of bad clients.
+// It guards against combinations of faults that break a rule of the protocol or make a proxy exit. More seeds are run by hand:
 //
 //	go test -run TestSoak ./cmd/chalkferry -soak.first 1000 -soak.seeds 50
 func TestSoak(t *testing.T) {
@@ -213,7 +215,7 @@
 			if *soakLogs != "" {
 				logs = filepath.Join(*soakLogs, fmt.Sprint(seed))
 			}
-			underFaults(t, s, d.plan(seed), logs)
+			runUnderFaults(t, s, d.plan(seed), logs)
 			if t.Failed() {
 				t.Log(d.text.String())
 			}
--- a/cmd/chalkferry/standstill_test.go
+++ b/cmd/chalkferry/standstill_test.go
@@ -11,47 +11,50 @@
 
 var standstillLength = flag.Duration("standstill.length", 3500*time.Millisecond, "how long the proxies of TestStandstill are stopped")
 
-// stop stops the proxy, as a machine does that gives it no processor, and has something happen meanwhile.
+// stop stops the proxy with SIGSTOP for a time, like a machine that gives it no CPU time, and calls meanwhile once it is
+// stopped.
 func (p *scriptedPlatform) stop(length time.Duration, meanwhile func()) {
-	began := time.Now()
+	start := time.Now()
 	p.proxy.cmd.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(100 * time.Millisecond) // until all its threads have stopped
+	time.Sleep(100 * time.Millisecond) // until all threads have stopped
 	meanwhile()
-	time.Sleep(time.Until(began.Add(length)))
+	time.Sleep(time.Until(start.Add(length)))
 	p.proxy.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// Of the tests of a proxy that was stopped.
+// Sizes and times of TestStandstill.
 const (
-	stoppedClients   = 40
-	dialTimeout      = 800 * time.Millisecond // as the configuration has it
-	killMargin       = 700 * time.Millisecond // the kill follows SIGTERM after that and the dial timeout
-	settleTime       = time.Second
+	stoppedClients   = 40                     // clients that connect while the proxy is stopped
+	dialTimeout      = 800 * time.Millisecond // as in the configuration
+	killMargin       = 700 * time.Millisecond // a supervisor kills the process this long and the dial timeout after SIGTERM
+	settleTime       = time.Second            // within which the proxy works off what happened during the stop
 	largeListServers = 3000
 )
 
-// TestStandstill guards against a proxy that breaks a rule by what came while its process got no processor.
+// TestStandstill guards against a proxy that got no CPU time for seconds and then acts on what is outdated: it must not dial
+// for clients that have left, run a session twice, or use servers that the list has withdrawn, and it must answer every
+// client that still waits.
 func TestStandstill(t *testing.T) {
 	t.Run("no attempt for clients that have left", func(t *testing.T) {
 		t.Parallel()
 		p := startScripted(t)
 		before := len(p.sessionsAt("one"))
 		p.stop(*standstillLength, func() {
-			for _, conn := range p.askForSessions(stoppedClients, dialTimeout) {
+			for _, conn := range p.requestSessions(stoppedClients, dialTimeout) {
 				conn.Close()
 			}
 		})
 		time.Sleep(settleTime)
 		if after := len(p.sessionsAt("one")); after != before {
-			t.Errorf("%d attempts", after-before)
+			t.Errorf("%d dials for clients that have left", after-before)
 		}
 	})
 	t.Run("no further attempt for clients that have left", func(t *testing.T) {
 		t.Parallel()
 		p := startScripted(t)
 		p.silence("one")
-		conns := p.askForSessions(stoppedClients/4, dialTimeout)
-		time.Sleep(100 * time.Millisecond) // they are at the server
+		conns := p.requestSessions(stoppedClients/4, dialTimeout)
+		time.Sleep(100 * time.Millisecond) // until the server has the sessions
 		p.addServer("two")
 		p.stop(*standstillLength, func() {
 			for _, conn := range conns {
@@ -60,28 +63,28 @@
 		})
 		time.Sleep(settleTime)
 		if sessions := p.sessionsAt("two"); len(sessions) > 0 {
-			t.Errorf("%d further attempts", len(sessions))
+			t.Errorf("%d more dials for clients that have left", len(sessions))
 		}
 	})
 	t.Run("an answer for each client that waits", func(t *testing.T) {
 		t.Parallel()
 		p := startScripted(t)
-		conns := p.askForSessions(0, 0)
-		p.stop(*standstillLength, func() { conns = p.askForSessions(stoppedClients, dialTimeout) })
-		if counts := answers(conns, settleTime); counts[""] > 0 {
-			t.Errorf("%v", counts)
+		conns := p.requestSessions(0, 0)
+		p.stop(*standstillLength, func() { conns = p.requestSessions(stoppedClients, dialTimeout) })
+		if counts := countAnswers(conns, settleTime); counts[""] > 0 {
+			t.Errorf("clients without an answer; answers: %v", counts)
 		}
 	})
 	t.Run("no effect twice", func(t *testing.T) {
 		t.Parallel()
 		p := startScripted(t, `"read_like"`, `"non_idempotent"`)
 		p.silence("one")
-		conns := p.askForSessions(stoppedClients/4, dialTimeout)
-		time.Sleep(100 * time.Millisecond) // they are at the server
+		conns := p.requestSessions(stoppedClients/4, dialTimeout)
+		time.Sleep(100 * time.Millisecond) // until the server has the sessions
 		p.addServer("two")
 		p.stop(*standstillLength, func() {})
-		if counts := answers(conns, settleTime); counts["ERR"] != len(conns) || len(p.sessionsAt("two")) > 0 {
-			t.Errorf("%v, %d sessions again", counts, len(p.sessionsAt("two")))
+		if counts := countAnswers(conns, settleTime); counts["ERR"] != len(conns) || len(p.sessionsAt("two")) > 0 {
+			t.Errorf("answers %v, want only ERR; %d sessions sent to the second server", counts, len(p.sessionsAt("two")))
 		}
 	})
 	t.Run("a drain is kept", func(t *testing.T) {
@@ -93,11 +96,11 @@
 		before := len(p.sessionsAt("one"))
 		p.stop(*standstillLength, func() {
 			p.setMember("one", address, "draining")
-			p.askForSessions(stoppedClients, *standstillLength+settleTime)
+			p.requestSessions(stoppedClients, *standstillLength+settleTime)
 		})
 		time.Sleep(settleTime)
 		if after := len(p.sessionsAt("one")); after != before {
-			t.Errorf("%d sessions at a server that has drained for %v", after-before, *standstillLength)
+			t.Errorf("%d sessions sent to a server that had been draining for %v", after-before, *standstillLength)
 		}
 	})
 	t.Run("a server that was started anew", func(t *testing.T) {
@@ -107,11 +110,11 @@
 		before := len(p.sessionsAt("one"))
 		p.stop(*standstillLength, func() {
 			p.setMember("one", "127.0.0.9:9", "ready")
-			p.askForSessions(stoppedClients, *standstillLength+settleTime)
+			p.requestSessions(stoppedClients, *standstillLength+settleTime)
 		})
 		time.Sleep(settleTime)
 		if after := len(p.sessionsAt("one")); after != before {
-			t.Errorf("%d sessions at an address that was given up %v before", after-before, *standstillLength)
+			t.Errorf("%d sessions sent to an address that the list had replaced %v before", after-before, *standstillLength)
 		}
 	})
 	t.Run("SIGTERM", func(t *testing.T) {
@@ -119,29 +122,29 @@
 			t.Run(length.String(), func(t *testing.T) {
 				t.Parallel()
 				p := startScripted(t)
-				conns := p.askForSessions(stoppedClients/2, dialTimeout)
-				established := answers(conns, settleTime)["UP"]
+				conns := p.requestSessions(stoppedClients/2, dialTimeout)
+				established := countAnswers(conns, settleTime)["UP"]
 				var signaled time.Time
 				var waiting []net.Conn
 				p.stop(length, func() {
 					signaled = time.Now()
 					p.proxy.cmd.Process.Signal(syscall.SIGTERM)
-					waiting = p.askForSessions(stoppedClients/2, dialTimeout)
+					waiting = p.requestSessions(stoppedClients/2, dialTimeout)
 				})
 				kill := time.AfterFunc(time.Until(signaled.Add(dialTimeout+killMargin)), func() { p.proxy.cmd.Process.Kill() })
 				defer kill.Stop()
-				if counts := lastWords(conns, 2*time.Second); counts["MOVE"] != established || established == 0 {
-					t.Errorf("%d open sessions, %v", established, counts)
+				if counts := countLastWords(conns, 2*time.Second); counts["MOVE"] != established || established == 0 {
+					t.Errorf("%d open sessions, last lines %v; want a MOVE for each", established, counts)
 				}
-				if counts := lastWords(waiting, time.Second); counts[""] > 0 || counts["UP"] > 0 {
-					t.Errorf("new sessions: %v", counts)
+				if counts := countLastWords(waiting, time.Second); counts[""] > 0 || counts["UP"] > 0 {
+					t.Errorf("new sessions: last lines %v; want an answer for each, and no UP", counts)
 				}
 			})
 		}
 	})
 }
 
-// listLarge lists thousands of draining servers, so that a list takes some time to read.
+// listLarge adds thousands of draining servers to the list, so that reading the list takes some time.
 func (p *scriptedPlatform) listLarge() {
 	p.mu.Lock()
 	for i := range largeListServers {
@@ -150,5 +153,5 @@
 	}
 	p.mu.Unlock()
 	p.addServer("three")
-	time.Sleep(settleTime) // until it is known
+	time.Sleep(settleTime) // until the proxy has the list
 }
--- a/cmd/chalkferry/store.go
+++ b/cmd/chalkferry/store.go
@@ -10,17 +10,17 @@
 	"chalkferry/internal/store"
 )
 
-// storeCmd inspects a store's folder.
+// storeCmd groups the commands that inspect a store's folder.
 type storeCmd struct {
-	Check storeCheckCmd `cmd:"" help:"Say what of a folder is good, and up to where. Changes nothing without --repair."`
-	List  storeListCmd  `cmd:"" help:"Name the tables and how much they hold."`
-	Dump  storeDumpCmd  `cmd:"" help:"Write all records as JSON lines."`
+	Check storeCheckCmd `cmd:"" help:"Check a folder and print up to where its records are intact. Changes nothing without --repair."`
+	List  storeListCmd  `cmd:"" help:"List the tables with their numbers of records and bytes."`
+	Dump  storeDumpCmd  `cmd:"" help:"Print all records as JSON lines."`
 }
 
-// storeCheckCmd reports what of a folder is good, and repairs a torn end on request.
+// storeCheckCmd checks the records of a folder and on request repairs an end that a crash has left incomplete.
 type storeCheckCmd struct {
 	Dir    string `arg:"" type:"existingdir"`
-	Repair bool   `help:"Cut a torn end off; what is cut off is kept beside it."`
+	Repair bool   `help:"Cut off an incomplete end. The segment as it was is kept in the folder."`
 }
 
 func (c *storeCheckCmd) Run() error {
@@ -43,6 +43,7 @@
 	return nil
 }
 
+// repair cuts off an incomplete end and prints where the original is kept.
 func (c *storeCheckCmd) repair() error {
 	folder, err := store.OpenFolder(c.Dir)
 	if err != nil {
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// storeListCmd names the tables.
+// storeListCmd lists the tables.
 type storeListCmd struct {
 	Dir string `arg:"" type:"existingdir"`
 }
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// storeDumpCmd writes all records.
+// storeDumpCmd prints all records.
 type storeDumpCmd struct {
 	Dir string `arg:"" type:"existingdir"`
 }
@@ -89,10 +90,10 @@
 	if err != nil {
 		return err
 	}
-	to := json.NewEncoder(os.Stdout)
+	encoder := json.NewEncoder(os.Stdout)
 	for _, table := range r.TableNames() {
 		for _, key := range slices.Sorted(maps.Keys(r.Tables[table])) {
-			if err := to.Encode(map[string]any{"table": table, "key": key, "value": r.Tables[table][key]}); err != nil {
+			if err := encoder.Encode(map[string]any{"table": table, "key": key, "value": r.Tables[table][key]}); err != nil {
 				return err
 			}
 		}
--- a/cmd/chalkferry/trace.go
+++ b/cmd/chalkferry/trace.go
@@ -14,24 +14,24 @@
 	"chalkferry/internal/trace"
 )
 
-// traceCmd records and edits traces.
+// traceCmd groups the commands for traces, which are recorded arrivals of sessions.
 type traceCmd struct {
-	Record traceRecordCmd `cmd:"" help:"Make a trace of a proxy's log."`
-	Check  traceCheckCmd  `cmd:"" help:"Read traces and say what is wrong with them, or what they hold."`
-	Cut    traceCutCmd    `cmd:"" help:"Keep what arrives within a span."`
-	Scale  traceScaleCmd  `cmd:"" help:"Make it of more or fewer sessions, or faster."`
-	Merge  traceMergeCmd  `cmd:"" help:"Lay traces over one another."`
+	Record traceRecordCmd `cmd:"" help:"Make a trace from proxies' logs."`
+	Check  traceCheckCmd  `cmd:"" help:"Validate traces and print a summary of each."`
+	Cut    traceCutCmd    `cmd:"" help:"Keep the sessions that arrive within a span of time."`
+	Scale  traceScaleCmd  `cmd:"" help:"Change the number of sessions, or the speed."`
+	Merge  traceMergeCmd  `cmd:"" help:"Combine traces into one, each from its start."`
 }
 
-// traceRecordCmd makes a trace of proxies' logs.
+// traceRecordCmd makes a trace from proxies' logs.
 type traceRecordCmd struct {
-	Log []string `arg:"" type:"existingfile" help:"Logs of proxies, of one clock."`
-	Out string   `short:"o" help:"A file for the trace; standard output without."`
+	Log []string `arg:"" type:"existingfile" help:"Logs of proxies. Their clocks must agree."`
+	Out string   `short:"o" help:"A file for the trace; by default standard output."`
 }
 
 func (c *traceRecordCmd) Run() error {
-	var all [][]trace.Session
-	var starts []time.Time
+	var traces [][]trace.Session // of each log with sessions
+	var starts []time.Time       // of the traces
 	skipped := 0
 	for _, name := range c.Log {
 		file, err := os.Open(name)
@@ -45,13 +45,13 @@
 		}
 		skipped += skippedLines
 		if len(sessions) > 0 {
-			all, starts = append(all, sessions), append(starts, start)
+			traces, starts = append(traces, sessions), append(starts, start)
 		}
 	}
-	for i := range all {
-		all[i] = trace.Shift(all[i], starts[i].Sub(slices.MinFunc(starts, time.Time.Compare)))
+	for i := range traces {
+		traces[i] = trace.Shift(traces[i], starts[i].Sub(slices.MinFunc(starts, time.Time.Compare)))
 	}
-	sessions := trace.Merge(all...)
+	sessions := trace.Merge(traces...)
 	fmt.Fprintf(os.Stderr, "%d sessions; %d lines are no session's\n", len(sessions), skipped)
 	return writeTrace(c.Out, "log "+strings.Join(c.Log, " "), sessions)
 }
@@ -78,17 +78,17 @@
 	return nil
 }
 
-// traceCutCmd keeps a span of a trace.
+// traceCutCmd keeps the sessions of a trace that arrive within a span of time.
 type traceCutCmd struct {
 	File string      `arg:"" type:"existingfile"`
-	From strict.Span `help:"Since the trace's start." default:"0s"`
-	To   strict.Span `help:"Since the trace's start." required:""`
-	Out  string      `short:"o" help:"A file for the trace; standard output without."`
+	From strict.Span `help:"Start of the span, since the start of the trace." default:"0s"`
+	To   strict.Span `help:"End of the span, since the start of the trace." required:""`
+	Out  string      `short:"o" help:"A file for the trace; by default standard output."`
 }
 
 func (c *traceCutCmd) Run() error {
 	if c.From < 0 || c.To <= c.From {
-		return fmt.Errorf("nothing lies between %v and %v", c.From, c.To)
+		return fmt.Errorf("the span from %v to %v is empty or begins before the trace", c.From, c.To)
 	}
 	sessions, err := readTrace(c.File)
 	if err != nil {
@@ -100,16 +100,16 @@
 // traceScaleCmd changes the number of sessions or the speed.
 type traceScaleCmd struct {
 	File   string      `arg:"" type:"existingfile"`
-	Factor float64     `default:"1" help:"How many times as many sessions."`
-	Speed  float64     `default:"1" help:"How many times as fast, 1 to 100."`
-	Spread strict.Span `default:"1s" help:"How much later copies may come."`
-	Seed   int64       `default:"1"`
-	Out    string      `short:"o" help:"A file for the trace; standard output without."`
+	Factor float64     `default:"1" help:"Factor by which the number of sessions is multiplied."`
+	Speed  float64     `default:"1" help:"Factor by which arrivals are sped up, 1 to 100."`
+	Spread strict.Span `default:"1s" help:"Longest time by which the copy of a session arrives after it."`
+	Seed   int64       `default:"1" help:"Random seed."`
+	Out    string      `short:"o" help:"A file for the trace; by default standard output."`
 }
 
 func (c *traceScaleCmd) Run() error {
 	if c.Factor <= 0 || c.Speed < 1 || c.Speed > 100 {
-		return fmt.Errorf("a factor above 0 and a speed of 1 to 100 are wanted, not %g and %g", c.Factor, c.Speed)
+		return fmt.Errorf("the factor must be above 0 and the speed 1 to 100, not %g and %g", c.Factor, c.Speed)
 	}
 	sessions, err := readTrace(c.File)
 	if err != nil {
@@ -124,22 +124,22 @@
 // traceMergeCmd combines traces.
 type traceMergeCmd struct {
 	File []string `arg:"" type:"existingfile"`
-	Out  string   `short:"o" help:"A file for the trace; standard output without."`
+	Out  string   `short:"o" help:"A file for the trace; by default standard output."`
 }
 
 func (c *traceMergeCmd) Run() error {
-	var all [][]trace.Session
+	var traces [][]trace.Session
 	for _, name := range c.File {
 		sessions, err := readTrace(name)
 		if err != nil {
 			return err
 		}
-		all = append(all, sessions)
+		traces = append(traces, sessions)
 	}
-	return writeTrace(c.Out, strings.Join(c.File, " and "), trace.Merge(all...))
+	return writeTrace(c.Out, strings.Join(c.File, " and "), trace.Merge(traces...))
 }
 
-// readTrace reads a trace from a file.
+// readTrace reads a trace from a file. Errors in it name the line.
 func readTrace(name string) ([]trace.Session, error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -149,7 +149,8 @@
 	return trace.Read(name, bufio.NewReader(file))
 }
 
-// writeTrace writes a trace to a file, or to standard output.
+// writeTrace writes a trace to a file, or to standard output if the name is empty. source describes where the trace comes
+// from.
 func writeTrace(name, source string, sessions []trace.Session) error {
 	if name == "" {
 		return trace.Write(io.Writer(os.Stdout), source, sessions)
--- a/cmd/chalkferry/version.go
+++ b/cmd/chalkferry/version.go
@@ -5,10 +5,10 @@
 	"runtime/debug"
 )
 
-// version is that of the changelog.
+// version is the released version, the same as in the changelog.
 const version = "0.1.0"
 
-// versionCmd prints the version.
+// versionCmd prints the version and that of the Go toolchain.
 type versionCmd struct{}
 
 func (versionCmd) Run() error {
