--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,4 +1,4 @@
-// Toy is a push server and a discovery service in one program, to try chalkferry with. It has neither load nor faults.
+// Toy runs push servers and a discovery service in one program, to try chalkferry with. It simulates neither load nor faults.
 package main
 
 import (
@@ -15,12 +15,13 @@
 	"github.com/alecthomas/kong"
 )
 
+// options are the command-line flags.
 var options struct {
-	Discovery string   `default:"127.0.0.1:8500" help:"Address of the discovery service."`
-	Servers   []string `default:"127.0.0.1:9001,127.0.0.1:9002" help:"Where the servers listen."`
+	Discovery string   `default:"127.0.0.1:8500" help:"Address at which the discovery service listens."`
+	Servers   []string `default:"127.0.0.1:9001,127.0.0.1:9002" help:"Addresses at which the push servers listen."`
 }
 
-// serveSession accepts a session, echoes each line of its client, and closes it when asked to.
+// serveSession serves one connection: it accepts a session (OPEN), answers PING, echoes other lines and closes at BYE.
 func serveSession(name string, conn net.Conn) {
 	defer conn.Close()
 	lines := bufio.NewScanner(conn)
@@ -40,9 +41,9 @@
 	}
 }
 
-// listen serves sessions at an address.
-func listen(name, at string) error {
-	listener, err := net.Listen("tcp", at)
+// listen starts to serve sessions at an address, in the background.
+func listen(name, address string) error {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
@@ -59,7 +60,8 @@
 	return nil
 }
 
-// serveList answers a watch: the whole list, then an empty line every two seconds, as nothing changes here.
+// serveList answers requests for the list of servers. With watch=1 the answer goes on with an empty line every two seconds
+// as a heartbeat; the list itself never changes.
 func serveList(list []byte) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "%s\n", list)
@@ -72,15 +74,15 @@
 }
 
 func main() {
-	kong.Parse(&options, kong.Description("A toy push server and discovery."))
+	kong.Parse(&options, kong.Description("Toy push servers and a discovery service, to try chalkferry with."))
 	members := []map[string]any{}
-	for i, at := range options.Servers {
+	for i, address := range options.Servers {
 		name := fmt.Sprintf("toy-%d", i+1)
-		if err := listen(name, at); err != nil {
+		if err := listen(name, address); err != nil {
 			fmt.Fprintln(os.Stderr, "toy:", err)
 			os.Exit(1)
 		}
-		members = append(members, map[string]any{"id": name, "host_port": at, "locality": "here", "phase": "ready",
+		members = append(members, map[string]any{"id": name, "host_port": address, "locality": "here", "phase": "ready",
 			"size": 1})
 	}
 	list, err := json.Marshal(map[string]any{"revision": 1, "complete": true, "members": members})
