--- a/choice/choice.go
+++ b/choice/choice.go
@@ -599,7 +599,7 @@
 // exceedsSlotQuota guards against overloading a cold server: it reports whether the session would exceed what this proxy
 // may send there now. All proxies together must send a cold server no more than a multiple of its present capacity within
 // any overload window, whatever arrives, and without messages between them. So the time since the server's start, which the
-// list tells all proxies alike, is divided into slots of one overload window. Each proxy has a position in a slot's order,
+// list gives to all proxies alike, is divided into slots of one overload window. Each proxy has a position in a slot's order,
 // and only the first positions have a quota. A window overlaps two slots at most, whose quotas add up to what is allowed in
 // a window.
 func (b *Balancer) exceedsSlotQuota(s *session, srv *server) bool {
--- a/cmd/chalkferry/aggregate_test.go
+++ b/cmd/chalkferry/aggregate_test.go
@@ -143,7 +143,7 @@
 			f.exchanges[eastA][westA].Send(datagram)
 			f.links[0][westA].down.Send(datagram)
 		}
-		f.eachWay((*udplink.Link).Replay) // replays the first eight packets of each link
+		f.forEachLink((*udplink.Link).Replay) // replays the first eight packets of each link
 		f.replayProxy(0)
 		time.Sleep(strangerPause)
 	}
--- a/cmd/chalkferry/fleet_rig_test.go
+++ b/cmd/chalkferry/fleet_rig_test.go
@@ -233,7 +233,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { socket.Close() })
-	l := &proxyLink{up: openWay(t, socket.LocalAddr().String(), seed), down: openWay(t, proxy, seed+1)}
+	l := &proxyLink{up: openLink(t, socket.LocalAddr().String(), seed), down: openLink(t, proxy, seed+1)}
 	down, err := net.ResolveUDPAddr("udp4", l.down.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -257,14 +257,15 @@
 	return l
 }
 
-func openWay(t *testing.T, to string, seed int64) *udplink.Link {
+// openLink opens a simulated network link to an address and closes it at the end of the test.
+func openLink(t *testing.T, to string, seed int64) *udplink.Link {
 	t.Helper()
-	w, err := udplink.Open("127.0.0.1:0", to, seed)
+	link, err := udplink.Open("127.0.0.1:0", to, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	return w
+	t.Cleanup(link.Close)
+	return link
 }
 
 func (l *proxyLink) record(datagram []byte) {
@@ -326,7 +327,7 @@
 	for from := range f.aggregators {
 		for to := range f.aggregators {
 			if from != to {
-				f.exchanges[from][to] = openWay(f.t, f.aggregators[to].shares, int64(100+10*from+to))
+				f.exchanges[from][to] = openLink(f.t, f.aggregators[to].shares, int64(100+10*from+to))
 			}
 		}
 	}
@@ -388,8 +389,8 @@
 	return file
 }
 
-// eachWay calls a function with each simulated network link of the fleet.
-func (f *testFleet) eachWay(call func(*udplink.Link)) {
+// forEachLink calls a function with each simulated network link of the fleet.
+func (f *testFleet) forEachLink(call func(*udplink.Link)) {
 	for i := range f.links {
 		for _, l := range f.links[i] {
 			if l != nil {
@@ -474,7 +475,7 @@
 	f.expectSum(what, func(s sharing.SumStatus) bool { return s.Value == want && s.Error == 0 && s.Heard == 1 }, want, proxies)
 }
 
-// expectPart waits until the proxies have the sum of the members that they still hear, and report that some are missing.
+// expectPart waits until the proxies have the sum of the members whose reports still arrive, and report that some are missing.
 func (f *testFleet) expectPart(what string, want float64, proxies ...int) {
 	f.t.Helper()
 	f.expectSum(what, func(s sharing.SumStatus) bool { return s.Value == want && s.Heard < 1 }, want, proxies)
--- a/cmd/chalkferry/fleet_test.go
+++ b/cmd/chalkferry/fleet_test.go
@@ -29,12 +29,12 @@
 	f.proxies[2].open(t, 1, "cccccccc")
 	f.expectWhole("at the start", 6, 0, 1, 2)
 
-	f.eachWay(func(w *udplink.Link) { w.SetFaults(1.0/3, 1.0/2, 300*time.Millisecond) })
+	f.forEachLink(func(link *udplink.Link) { link.SetFaults(1.0/3, 1.0/2, 300*time.Millisecond) })
 	f.proxies[1].open(t, 2, "dddddddd")
 	f.expect("with a third of the datagrams lost, half duplicated, and delays up to 300 ms", 8, 0, 1, 2)
-	f.eachWay(func(w *udplink.Link) { w.SetFaults(0, 0, 0) })
+	f.forEachLink(func(link *udplink.Link) { link.SetFaults(0, 0, 0) })
 
-	f.links[0][westA].cut(true) // proxy 0 has only west-b, and west-a and west-b hear each other only through the other region
+	f.links[0][westA].cut(true) // proxy 0 has only west-b, and west-a and west-b reach each other only through the other region
 	f.exchanges[westA][westB].SetDown(true)
 	f.exchanges[westB][westA].SetDown(true)
 	first[0].Close()
@@ -43,7 +43,7 @@
 	f.cutProxy(0, true)
 	f.expectPart("proxy 0 cut off", 2, 0)
 	f.expect("proxy 0 cut off", 5, 1, 2)
-	f.eachWay(func(w *udplink.Link) { w.SetDown(false) })
+	f.forEachLink(func(link *udplink.Link) { link.SetDown(false) })
 	f.expectWhole("links restored", 7, 0, 1, 2)
 
 	f.proxies[2].cmd.Process.Signal(syscall.SIGSTOP)
--- a/cmd/chalkferry/scripted_platform_test.go
+++ b/cmd/chalkferry/scripted_platform_test.go
@@ -105,12 +105,12 @@
 // serve answers as a server: it accepts each session, unless the server is silent.
 func (p *scriptedPlatform) serve(id string, conn net.Conn) {
 	for lines := bufio.NewScanner(conn); lines.Scan(); {
-		words := strings.Fields(lines.Text())
-		if len(words) < 2 || words[0] != "OPEN" {
+		fields := strings.Fields(lines.Text())
+		if len(fields) < 2 || fields[0] != "OPEN" {
 			continue
 		}
 		p.mu.Lock()
-		p.opened[id] = append(p.opened[id], words[1])
+		p.opened[id] = append(p.opened[id], fields[1])
 		isSilent := p.isSilent[id]
 		p.mu.Unlock()
 		if !isSilent {
@@ -160,9 +160,9 @@
 	return counts
 }
 
-// countLastWords reads all lines of each client until its connection ends or the timeout passes, and counts the last lines by
+// countLastLines reads all lines of each client until its connection ends or the timeout passes, and counts the last lines by
 // their first word, "" for none.
-func countLastWords(conns []net.Conn, timeout time.Duration) map[string]int {
+func countLastLines(conns []net.Conn, timeout time.Duration) map[string]int {
 	deadline, counts := time.Now().Add(timeout), map[string]int{}
 	for _, conn := range conns {
 		conn.SetReadDeadline(deadline)
--- a/cmd/chalkferry/standstill_test.go
+++ b/cmd/chalkferry/standstill_test.go
@@ -133,10 +133,10 @@
 				})
 				kill := time.AfterFunc(time.Until(signaled.Add(dialTimeout+killMargin)), func() { p.proxy.cmd.Process.Kill() })
 				defer kill.Stop()
-				if counts := countLastWords(conns, 2*time.Second); counts["MOVE"] != established || established == 0 {
+				if counts := countLastLines(conns, 2*time.Second); counts["MOVE"] != established || established == 0 {
 					t.Errorf("%d open sessions, last lines %v; want a MOVE for each", established, counts)
 				}
-				if counts := countLastWords(waiting, time.Second); counts[""] > 0 || counts["UP"] > 0 {
+				if counts := countLastLines(waiting, time.Second); counts[""] > 0 || counts["UP"] > 0 {
 					t.Errorf("new sessions: last lines %v; want an answer for each, and no UP", counts)
 				}
 			})
--- a/internal/aggregation/doc.go
+++ b/internal/aggregation/doc.go
@@ -18,12 +18,12 @@
 // A Figure (a sum with bounds on its error and age) does not account for the following:
 //   - the time that datagrams spent on the network;
 //   - a member that moves to another region under the same ID: it counts in both until the decay is over;
-//   - two aggregators of a region that each hear members which the other does not: only the numbers of members are
-//     compared, not their IDs;
+//   - two aggregators of a region that each receive reports from members from which the other receives none: only the
+//     numbers of members are compared, not their IDs;
 //   - keys that the receiver dropped because every datagram with them was lost until Since passed their number, if it
 //     still holds as many keys that the sender no longer has: only the numbers of keys are compared.
 //
-// A process that has just started cannot tell a replayed datagram from a new one.
+// A process that has just started cannot distinguish a replayed datagram from a new one.
 //
 // Datagrams are not authenticated: anyone who can send to the ports can falsify the sums.
 package aggregation
--- a/internal/aggregation/property_test.go
+++ b/internal/aggregation/property_test.go
@@ -62,7 +62,7 @@
 }
 
 // replay delivers a datagram again if the process that received it is still running. A process that has just started
-// cannot tell a replayed datagram from a new one, so later processes are left out.
+// cannot distinguish a replayed datagram from a new one, so later processes are left out.
 func (p packet) replay() {
 	if p.to.up && !p.to.frozen && p.to.starts == p.toStarts {
 		p.deliver()
--- a/internal/aggregation/scenario_member_test.go
+++ b/internal/aggregation/scenario_member_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestEarlierTimeWhileCutOff: like TestEarlierTimeAtRestart, but the process hears no aggregator for a minute after its
-// start.
+// TestEarlierTimeWhileCutOff: like TestEarlierTimeAtRestart, but the process receives no datagram from any
+// aggregator for a minute after its start.
 func TestEarlierTimeWhileCutOff(t *testing.T) {
 	t.Parallel()
 	keys := testKeys(5)
--- a/internal/aggregation/scenario_test.go
+++ b/internal/aggregation/scenario_test.go
@@ -209,8 +209,8 @@
 	s.checkExact(keys)
 }
 
-// TestTwoDisagree: two aggregators of a region hear different members. Figures come from one of them and are never
-// mixed; they come from the one that hears more members if the ratio exceeds switchRatio.
+// TestTwoDisagree: two aggregators of a region receive reports from different members. Figures come from one of them
+// and are never mixed; they come from the one that receives from more members if the ratio exceeds switchRatio.
 func TestTwoDisagree(t *testing.T) {
 	t.Parallel()
 	keys := testKeys(20)
--- a/internal/benchwire/delayreport.go
+++ b/internal/benchwire/delayreport.go
@@ -13,8 +13,8 @@
 	// DelayReportSize is the size in bytes of a delay report, a message between proxies: a server's id (4 bytes) and the
 	// delay of its messages in milliseconds (2 bytes).
 	DelayReportSize = 6
-	// FullMessage is the size in bytes of a message that costs the full configured price. Smaller ones cost in proportion.
-	FullMessage = 256
+	// FullMessageSize is the size in bytes of a message that costs the full configured price. Smaller ones cost in proportion.
+	FullMessageSize = 256
 	// allPeers is the wire's destination number for a message to all other proxies.
 	allPeers = 0xffff
 )
@@ -33,16 +33,3 @@
 	server = choice.ServerID(binary.LittleEndian.Uint32(data))
 	return server, time.Duration(binary.LittleEndian.Uint16(data[4:])) * time.Millisecond, nil
 }
-
-// WordSize is the former name of DelayReportSize, used by internal/start.
-const WordSize = DelayReportSize
-
-// AppendWord is the former name of AppendDelayReport, used by internal/proxy.
-func AppendWord(dst []byte, server choice.ServerID, delay time.Duration) []byte {
-	return AppendDelayReport(dst, server, delay)
-}
-
-// Word is the former name of ParseDelayReport, used by internal/proxy.
-func Word(data []byte) (server choice.ServerID, delay time.Duration, err error) {
-	return ParseDelayReport(data)
-}
--- a/internal/capacity/failures.go
+++ b/internal/capacity/failures.go
@@ -123,7 +123,7 @@
 				Terms: func(c *Case) []Term {
 					return []Term{timeTerm("ModuleWholeList.ns/op", c.Servers, 1), timeTerm("DirectoryWholeList.ns/op", c.Servers, 1)}
 				}},
-			{Label: "staleness of flat counts", Unit: Seconds, Computed: func(c *Case) float64 { return min(flatFadeSeconds, c.RegionsApart.D().Seconds()) }, Note: "fresh for 5 s, faded after 10 s more: then nothing is told of the region"},
+			{Label: "staleness of flat counts", Unit: Seconds, Computed: func(c *Case) float64 { return min(flatCountsLifetimeSeconds, c.RegionsApart.D().Seconds()) }, Note: "fresh for 5 s, faded after 10 s more: then nothing is told of the region"},
 		},
 	}
 }
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -5,22 +5,22 @@
 // Constants of the implementation, with the packages that define them. The flat counts have been replaced: their constants are
 // those of internal/sharing at the commits at which they were measured.
 const (
-	roundsPerSecond       = 0.5         // package choice: one round each roundInterval
-	sweepsPerSecond       = 10.0        // internal/proxy: sweeps per reportInterval
-	sumsPerSecond         = 1.0         // internal/proxy: one sum each reportInterval
-	flatInterval          = 0.5         // seconds between datagrams, the default
-	flatFanOut            = 4.0         // members that get a datagram in each interval
-	flatMaxMembers        = 512.0       // members in a member file at most
-	flatEntries           = 24.0        // counts in a report
-	flatMaxDatagram       = 1200.0      // bytes in a datagram
-	maxListBytes          = 4 << 20     // bytes, internal/discovery: maxListBytes
-	coldSpanSeconds       = 20.0        // seconds that a server is cold, as the benchmark sets it
-	nanosecond            = 1e-9        // in seconds
-	listChangesPerRestart = 3.0         // a restarted server drains, is gone, and is ready again
-	flatFadeSeconds       = 5.0 + 2*5.0 // seconds until counts have faded, by default: 5 fresh, 10 fading
-	goneServerDays        = 30.0        // the days of restarts for which the state of gone servers is computed
-	dialBudgetSeconds     = 60          // window of the budget of further dials, in seconds
-	eventLoops            = 1.0         // event loops of a proxy, each on one core at most
+	roundsPerSecond           = 0.5         // package choice: one round each roundInterval
+	sweepsPerSecond           = 10.0        // internal/proxy: sweeps per reportInterval
+	sumsPerSecond             = 1.0         // internal/proxy: one sum each reportInterval
+	flatInterval              = 0.5         // seconds between datagrams, the default
+	flatFanOut                = 4.0         // members that get a datagram in each interval
+	flatMaxMembers            = 512.0       // members in a member file at most
+	flatEntries               = 24.0        // counts in a report
+	flatMaxDatagram           = 1200.0      // bytes in a datagram
+	maxListBytes              = 4 << 20     // bytes, internal/discovery: maxListBytes
+	coldSpanSeconds           = 20.0        // seconds that a server is cold, as the benchmark sets it
+	nanosecond                = 1e-9        // in seconds
+	listChangesPerRestart     = 3.0         // a restarted server drains, is gone, and is ready again
+	flatCountsLifetimeSeconds = 5.0 + 2*5.0 // seconds until counts have faded, by default: 5 fresh, 10 fading
+	goneServerDays            = 30.0        // the days of restarts for which the state of gone servers is computed
+	dialBudgetSeconds         = 60          // window of the budget of further dials, in seconds
+	eventLoops                = 1.0         // event loops of a proxy, each on one core at most
 )
 
 // termAt returns a term that counts a slope's value at x once.
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -29,7 +29,7 @@
 	readBackOff readBackOff
 
 	isRegistered  bool // with the poller
-	wantsWrite    bool // whether the poller was last told to report that the socket is writable
+	wantsWrite    bool // whether the poller was last set to report that the socket is writable
 	isWritePaused bool // a write waits for the end of a back-off
 	isClosed      bool
 }
@@ -228,7 +228,7 @@
 	})
 }
 
-// updateInterest tells the poller which events to report: read events always, and write events while unsent bytes wait.
+// updateInterest sets the events that the poller reports: read events always, and write events while unsent bytes wait.
 func (c *Conn) updateInterest() {
 	wantsWrite := len(c.unsent) > 0 && !c.isWritePaused
 	if c.isClosed || c.readBackOff.isActive || c.isRegistered && wantsWrite == c.wantsWrite {
--- a/internal/exchange/delays.go
+++ b/internal/exchange/delays.go
@@ -6,9 +6,9 @@
 	"chalkferry/choice"
 )
 
-// DelayTracker decides which message delays are recorded in the Balancer, and tells delays from loads in LOAD lines. While a
-// server's delays are over a threshold it records one per interval, the pace at which servers report delays themselves, and one
-// more once they are back under the threshold.
+// DelayTracker decides which message delays are recorded in the Balancer, and distinguishes delays from loads in LOAD lines. While
+// a server's delays are over a threshold it records one per interval, the pace at which servers report delays themselves, and
+// one more once they are back under the threshold.
 type DelayTracker struct {
 	balancer        *choice.Balancer
 	reportThreshold time.Duration // a third of the shortest message target; longer delays are recorded
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -164,7 +164,7 @@
 // state, nothing else changes it.
 func (s *Session) enter(next state) {
 	if !slices.Contains(allowedTransitions[s.state], next) {
-		panic(fmt.Sprintf("session %d: transition from state %d to %d is not allowed", s.arrival.ID, s.state, next))
+		panic(fmt.Sprintf("session %d: invalid transition from state %d to state %d", s.arrival.ID, s.state, next))
 	}
 	t := s.table
 	if s.state == open {
@@ -302,7 +302,7 @@
 }
 
 // move closes an open session gracefully and asks its client to reconnect. The Balancer, which may be in the middle of a call
-// of Move, is told once the current event is handled.
+// of Move, is notified once the current event is handled.
 func (s *Session) move(outcome choice.Outcome, reason string) {
 	s.enter(ended)
 	s.client.Finish([]byte("MOVE\r\n"), reason)
@@ -310,7 +310,7 @@
 	s.table.runAfterEvent(func() { s.reportDialEnd(outcome, true) })
 }
 
-// reportDialEnd tells the Balancer how the session's last dial, or the open session, ended.
+// reportDialEnd reports to the Balancer how the session's last dial, or the open session, ended.
 func (s *Session) reportDialEnd(outcome choice.Outcome, isOver bool) {
 	t := s.table
 	t.balancer.HandleDialEnd(t.now(), s.arrival.ID, choice.DialNumber(s.dialCount-1), s.serverID, outcome, t.now()-s.dialedAt, isOver)
--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -18,7 +18,7 @@
 // MemberID is the index of a configured proxy, from 0.
 type MemberID int
 
-// Incarnation tells the processes of one member apart: each start of a member has a larger one than all before.
+// Incarnation distinguishes the processes of one member: each start of a member has a larger one than all before.
 type Incarnation uint64
 
 // Amount is counted in the units of a budget: dials, or thousandths of a usual session's load.
@@ -233,7 +233,7 @@
 	return Message{Grant, b.self, request.From, request.Lease, amount}, true
 }
 
-// ReleaseAll ends all leases that this process holds and returns the messages that tell the lenders. If a message is
+// ReleaseAll ends all leases that this process holds and returns the messages that notify the lenders. If a message is
 // lost, the lender waits until its record of the lease expires.
 func (b *Budget) ReleaseAll(now time.Duration) (messages []Message) {
 	b.removeExpired(now)
--- a/internal/fleet/health_reports.go
+++ b/internal/fleet/health_reports.go
@@ -21,7 +21,7 @@
 	Draining    // once reported, it holds until the server starts again
 )
 
-// StartTime tells the starts of a server apart. It is the start time in the list, in any unit; later starts have
+// StartTime distinguishes the starts of a server. It is the start time in the list, in any unit; later starts have
 // larger values.
 type StartTime int64
 
--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -199,7 +199,7 @@
 }
 
 // ParseLoad parses the number of a LOAD line and reports whether it is well formed. The number may be a load in microseconds
-// of work per second or a message delay in milliseconds; the caller has to tell them apart.
+// of work per second or a message delay in milliseconds; the caller has to distinguish them.
 func ParseLoad(text []byte) (float64, bool) {
 	return parseDecimal(Arguments(text))
 }
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -1106,7 +1106,7 @@
 	r.expectIdle()
 }
 
-// TestTellsItsWait checks that a first line tells the server how long the proxy will wait from then on, without the time that
+// TestTellsItsWait checks that a first line informs the server how long the proxy will wait from then on, without the time that
 // the connection took to be established.
 func TestTellsItsWait(t *testing.T) {
 	const connectDelay = 500 * time.Millisecond
--- a/internal/proxy/leave.go
+++ b/internal/proxy/leave.go
@@ -44,7 +44,7 @@
 // Where sessions end at the proxy (mode "proxy"), they are moved before the process ends, spread out so that their clients
 // don't all reconnect at once; where they pass through it (mode "pass"), other proxies take over. Neither happens at once:
 // new connections still arrive here, those of moved clients among them, and in a rolling restart the proxy that was
-// restarted before may not be back. Nor does it wait until the kill: by then the next proxy is told to leave, too.
+// restarted before may not be back. Nor does it wait until the kill: by then the next proxy has been asked to leave, too.
 func (p *Proxy) Leave() {
 	<-p.ready
 	p.execute(func() {
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -24,7 +24,7 @@
 // receivePeerMessage passes an overload report of another proxy to the balancer. It is called outside the event loop.
 func (p *Proxy) receivePeerMessage(message []byte) {
 	<-p.ready
-	server, delay, err := benchwire.Word(message)
+	server, delay, err := benchwire.ParseDelayReport(message)
 	if err != nil {
 		p.log.Warn().Err(err).Msg("a word from another proxy is ignored")
 		return
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -315,7 +315,7 @@
 
 func (f balancerFront) PublishOverload(server choice.ServerID, delay time.Duration) {
 	if f.proxy.peers != nil {
-		f.proxy.peers.Send(benchwire.AppendWord(nil, server, delay))
+		f.proxy.peers.Send(benchwire.AppendDelayReport(nil, server, delay))
 	}
 }
 
--- a/internal/proxy/rig_test.go
+++ b/internal/proxy/rig_test.go
@@ -32,7 +32,7 @@
 
 // startEchoServer starts a server that passes the fields of each first line to onFirstLine, answers UP, echoes lines, and ends
 // the connection on BYE (after answering it) or CUT (with a reset). It returns the server's address.
-func startEchoServer(t *testing.T, onFirstLine ...func(words []string)) string {
+func startEchoServer(t *testing.T, onFirstLine ...func(fields []string)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/fault.go
+++ b/internal/scale/fault.go
@@ -25,7 +25,7 @@
 	FaultAggregatorFreeze FaultKind = "aggregator-freeze" // SIGSTOP; SIGCONT at the end
 )
 
-// faultKeys tells which of the optional keys each kind takes.
+// faultKeys lists which of the optional keys each kind takes.
 var faultKeys = map[FaultKind]struct {
 	share, zone, region, aggregator bool
 }{
--- a/internal/scale/member.go
+++ b/internal/scale/member.go
@@ -132,13 +132,13 @@
 		budget    choice.RetryBudget
 		list      choice.ListSettings
 		cold      choice.ColdSettings
-		words     choice.PeerReportSettings
+		peers     choice.PeerReportSettings
 		connect   time.Duration
 
 		passes, groups      bool
 		load, delay, models bool
 	)
-	if err := start.ParseBalancer(settings, &listeners, &dials, &budget, &list, &cold, &words); err != nil {
+	if err := start.ParseBalancer(settings, &listeners, &dials, &budget, &list, &cold, &peers); err != nil {
 		return err
 	}
 	err := start.ParseNames(settings, map[string]choice.ListenerID{}, map[string]choice.TenantID{}, map[string]choice.ZoneID{})
--- a/internal/scale/print.go
+++ b/internal/scale/print.go
@@ -79,7 +79,7 @@
 	printAggregators(w, "    ", f.Aggregators)
 }
 
-// String returns the times in words, for operators.
+// String returns the times as text for operators.
 func (s PropagationTimes) String() string {
 	text := func(seconds float64) string {
 		if seconds < 0 {
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -98,7 +98,7 @@
 func (c *Conn) ReadAgain() { c.HandleTraffic() }
 
 // Write sends whole lines. A connection whose other end reads too slowly is reset, so that the send buffer stays bounded; the owner
-// is told once the current event is handled.
+// is notified once the current event is handled.
 func (c *Conn) Write(lines []byte) {
 	if c.state != open {
 		return
@@ -271,8 +271,8 @@
 	c.limit.Release(1)
 }
 
-// HandleClose handles that the event loop closes the connection. It may be called in the middle of a write, so the owner is told
-// once the current event is handled.
+// HandleClose handles that the event loop closes the connection. It may be called in the middle of a write, so the owner is
+// notified once the current event is handled.
 func (c *Conn) HandleClose(err error) {
 	previous := c.state
 	if previous == closed {
--- a/internal/standin/client/stream.go
+++ b/internal/standin/client/stream.go
@@ -212,7 +212,7 @@
 	fmt.Fprintf(conn, "M %d %d\r\n", n, now.Microseconds()) // the reader sees any failure
 }
 
-// readAnswers reads until the connection ends. The last line tells how the session ended.
+// readAnswers reads until the connection ends. The last line says how the session ended.
 func (s *session) readAnswers(lines *bufio.Reader, unanswered *unansweredLines) ending {
 	c := s.clients
 	last := cutOff
--- a/internal/standin/judge/dial.go
+++ b/internal/standin/judge/dial.go
@@ -32,7 +32,7 @@
 	s.dials = append(s.dials, d)
 	learnedAt, known := j.drainLearnedAt(now, s.proxy, node)
 	if known && !resumed && firstByte > learnedAt+j.drainGrace+j.leeway {
-		j.report(now, DrainIgnored, id, node, s.proxy, "dialled %v after the proxy was told of the drain, the grace is %v",
+		j.report(now, DrainIgnored, id, node, s.proxy, "dialled %v after the proxy was notified of the drain, the grace is %v",
 			(firstByte - learnedAt).Round(time.Millisecond), j.drainGrace)
 	}
 	return DialIndex(len(s.dials) - 1)
--- a/internal/standin/judge/session.go
+++ b/internal/standin/judge/session.go
@@ -127,7 +127,7 @@
 }
 
 // ClientRerouted reports that the client's connection ended because its proxy left or died, and that the client is about
-// to resume the session through another proxy. Until then nothing can tell it that its server has ended the session.
+// to resume the session through another proxy. Until then nothing can notify it that its server has ended the session.
 func (j *Judge) ClientRerouted(id SessionID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -136,7 +136,7 @@
 	}
 }
 
-// ClientLeft reports that the session is over at its client: the client ended it, or was told to migrate or that its
+// ClientLeft reports that the session is over at its client: the client ended it, or was asked to migrate or notified that its
 // server ended it.
 func (j *Judge) ClientLeft(now time.Duration, id SessionID) {
 	j.mu.Lock()
@@ -215,7 +215,7 @@
 	}
 	j.schedule(now+maxEndDelay+j.leeway, func(due time.Duration) {
 		if s.established && !s.clientEnded && !s.isRerouted && j.sessions[id] == s && !j.proxyState(s.proxy).dead {
-			j.reportLost(due, s, "its server ended it a second ago and its client was not told")
+			j.reportLost(due, s, "its server ended it a second ago and its client was not notified")
 		}
 	})
 }
--- a/internal/standin/node/conn.go
+++ b/internal/standin/node/conn.go
@@ -290,7 +290,7 @@
 	c.sendLast(lastLine, 0)
 }
 
-// reportReset tells the judge that the node resets the session's connection. The caller must hold the node's mu.
+// reportReset reports to the judge that the node resets the session's connection. The caller must hold the node's mu.
 func (c *conn) reportReset() {
 	if c.id != "" {
 		c.node.judge.ServerEnded(c.node.now(), c.id, true)
--- a/internal/standin/node/faults.go
+++ b/internal/standin/node/faults.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// reportSilence tells the judge that the node no longer answers any session. The caller must hold n.mu.
+// reportSilence reports to the judge that the node no longer answers any session. The caller must hold n.mu.
 func (n *Node) reportSilence() {
 	for c := range n.conns {
 		if c.established {
--- a/internal/standin/udplink/udplink.go
+++ b/internal/standin/udplink/udplink.go
@@ -18,7 +18,7 @@
 	maxPacketSize = 1 << 16
 )
 
-// Link relays the packets that arrive at its address to another address. It drops nothing until it is told to.
+// Link relays the packets that arrive at its address to another address. It drops nothing until SetFaults or SetDown is called.
 type Link struct {
 	conn        *net.UDPConn
 	destination netip.AddrPort
--- a/internal/start/proxy.go
+++ b/internal/start/proxy.go
@@ -155,13 +155,13 @@
 	var raw struct {
 		LearnModels bool `json:"learnModels"`
 		Domain      struct {
-			TellsLoad  bool `json:"tellsLoad"`
-			TellsDelay bool `json:"tellsDelay"`
+			ReportsLoad  bool `json:"tellsLoad"`
+			ReportsDelay bool `json:"tellsDelay"`
 		} `json:"domain"`
 	}
 	if err := json.Unmarshal(settings, &raw); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	*reportLoad, *reportDelay, *learnModels = raw.Domain.TellsLoad, raw.Domain.TellsDelay, raw.LearnModels
+	*reportLoad, *reportDelay, *learnModels = raw.Domain.ReportsLoad, raw.Domain.ReportsDelay, raw.LearnModels
 	return nil
 }
--- a/internal/start/start.go
+++ b/internal/start/start.go
@@ -84,7 +84,7 @@
 	*list = settings.listSettings(&durations)
 	*cold = settings.coldSettings(&durations)
 	*peerReports = choice.PeerReportSettings{Enabled: settings.Ceilings.Peers,
-		CostPerMessage: settings.Penalties.Peer * benchwire.WordSize / benchwire.FullMessage}
+		CostPerMessage: settings.Penalties.Peer * benchwire.DelayReportSize / benchwire.FullMessageSize}
 	if durations.err != nil {
 		return durations.err
 	}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// Write writes a trace; source tells people where it comes from.
+// Write writes a trace; source says where it comes from, for people who read the file.
 func Write(output io.Writer, source string, sessions []Session) error {
 	w := bufio.NewWriter(output)
 	e := json.NewEncoder(w)
