--- a/internal/scale/member.go
+++ b/internal/scale/member.go
@@ -127,18 +127,18 @@
 // readSettings parses settings as a proxy does at its start and at SIGHUP, and drops the result.
 func readSettings(settings []byte) error {
 	var (
-		listeners []choice.Listener
-		dials     choice.DialLimits
-		budget    choice.RetryBudget
-		list      choice.ListSettings
-		cold      choice.ColdSettings
-		peers     choice.PeerReportSettings
-		connect   time.Duration
+		listeners   []choice.Listener
+		dials       choice.DialLimits
+		budget      choice.RetryBudget
+		list        choice.ListSettings
+		cold        choice.ColdSettings
+		peerReports choice.PeerReportSettings
+		connect     time.Duration
 
 		passes, groups      bool
 		load, delay, models bool
 	)
-	if err := start.ParseBalancer(settings, &listeners, &dials, &budget, &list, &cold, &peers); err != nil {
+	if err := start.ParseBalancer(settings, &listeners, &dials, &budget, &list, &cold, &peerReports); err != nil {
 		return err
 	}
 	err := start.ParseNames(settings, map[string]choice.ListenerID{}, map[string]choice.TenantID{}, map[string]choice.ZoneID{})
